--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -11,7 +11,7 @@
 
 from whintrail import interface as api
 from whintrail.cli.root import root
-from whintrail.fleet import memo
+from whintrail.fleet import probe_reports
 from whintrail.gateway.bulletin import read_entry
 from whintrail.scale.deployment import Deployment
 from whintrail.scale.results import Sample, load
@@ -82,7 +82,7 @@
     asks = value["lease_asks_per_s", "gateway", 16, 0]
     assert 2.0 <= asks <= 3.0  # a third of a lease of 1.2 s apart, by turns
     memos = value["memo_datagrams_per_s", "gateway", 5, 20]
-    one = memo.HEAD.size + memo.ENTRY.size + HEADERS
+    one = probe_reports.HEADER.size + probe_reports.ENTRY.size + HEADERS
     assert value["memo_bytes_per_s", "gateway", 5, 20] == pytest.approx(memos * one)
 
 
@@ -115,7 +115,7 @@
 
 
 def test_a_filter_on_the_list_stands_in_front_of_the_module() -> None:
-    def half(event: api.EngineList) -> api.EngineList:
+    def half(event: api.EngineListReceived) -> api.EngineListReceived:
         kept = tuple(entry for entry in event.entries if int(entry.engine[-1]) % 2 == 0)
         return replace(event, entries=kept)
 
@@ -129,7 +129,7 @@
     assert len({entry.engine for entry in entries}) == 300
     assert {entry.zone for entry in entries} == set(deployment.zone_names())
     assert all(entry.state is api.EngineState.READY for entry in entries)
-    assert read_entry(deployment.item(3, "left"))[0].state is api.EngineState.GONE
+    assert read_entry(deployment.item(3, "left"))[0].state is api.EngineState.REMOVED
     assert {work.name for work in deployment.work} == {cls.name for cls in deployment.settings().classes}
 
 
--- a/tests/test_simulated_growth.py
+++ b/tests/test_simulated_growth.py
@@ -16,25 +16,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whintrail.fleet.budget import Allowed
-from whintrail.fleet.leader import EngineSeen, Rules
-from whintrail.fleet.membership import ByLife, Life, Membership, News, Without
-from whintrail.fleet.node import Given
+from whintrail.fleet.budget import DisruptionBudget
+from whintrail.fleet.leader import EngineAvailability, LeaderRules
+from whintrail.fleet.membership import ExcludingView, MembersByState, Membership, MemberState, UpdateQueue
+from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.state import HALTED, RUNNING
-from whintrail.fleet.wire import Change, Leaving, WantDrain, WantRelease, WantSlot, WantTurn, WantVersion
+from whintrail.fleet.wire import (
+    Change,
+    DrainRequest,
+    Leave,
+    ReleaseRequest,
+    ReleaseStatusRequest,
+    SlotRequest,
+    VersionRequest,
+)
 from whintrail.standins.simulated import Process, World, sound
-from whintrail.versions.body import Body
-from whintrail.versions.member import VersionPace
+from whintrail.versions.member import VersionTiming
+from whintrail.versions.rules import Rules
 
 ZONES = ("a", "b", "c")
-ENGINES = {f"e{n}": EngineSeen(ZONES[n % 3]) for n in range(12)}
+ENGINES = {f"e{n}": EngineAvailability(ZONES[n % 3]) for n in range(12)}
 LISTS = 3  # so many generations of the list there are in a run
 
 
 class Overheard(World):
     """Keeps a digest of every datagram: when it was sent, by whom, to whom, and its bytes."""
 
-    def __init__(self, given: Callable[[int, str], Given], count: int, seed: int) -> None:
+    def __init__(self, given: Callable[[int, str], FleetConfig], count: int, seed: int) -> None:
         self.digest = blake2b(digest_size=8)
         self.datagrams = 0
         super().__init__(given, count, seed, dict(ENGINES), drift=0.005)
@@ -55,8 +63,8 @@
         return process
 
 
-def settings(count: int, number: int, build: str) -> Given:
-    return Given(
+def settings(count: int, number: int, build: str) -> FleetConfig:
+    return FleetConfig(
         "f",
         number,
         count,
@@ -64,14 +72,14 @@
         build=build,
         zone=number % 3,
         zones=ZONES,
-        rules=Rules(Allowed(0.1, 0.2), Allowed(0.2, 0.5)),
+        rules=LeaderRules(DisruptionBudget(0.1, 0.2), DisruptionBudget(0.2, 0.5)),
         messages_per_s=150.0 if number % 5 else 1500.0,
-        versions=VersionPace(lease_us=1_200_000, check_us=4_000_000),
+        versions=VersionTiming(lease_us=1_200_000, check_timeout_us=4_000_000),
     )
 
 
 def wish(world: World, number: int, change: Change) -> None:
-    world.node(number).wish(world.clock(number), change, 6, True)
+    world.node(number).submit(world.clock(number), change, 6, True)
 
 
 def listed(world: World, random: Random, generation: int) -> None:
@@ -81,7 +89,7 @@
             lists = world.node(number).settings
             assert lists is not None
             entries = [(name, int(name[1:]) != generation, False) for name in ENGINES]
-            lists.lists.listed(world.clock(number), generation, True, entries)
+            lists.engine_list.apply_event(world.clock(number), generation, True, entries)
 
 
 def lossy(share: float, origin: int, target: int, random: Random) -> list[float]:
@@ -104,21 +112,21 @@
         others = random.sample(range(5, count), 8)
         proposer = world.node(others[0])
         assert proposer.settings is not None
-        body = Body(caps={"report": turn + 5}, homes={str(n): n % count for n in range(40 * turn)})
-        digest = proposer.settings.member.put(body)
-        wish(world, others[0], WantVersion(proposer.state.versions.number + 1, digest, ""))
-        wish(world, others[1], WantSlot(world.node(others[1]).birth, "old"))
-        wish(world, others[2], WantDrain(f"e{turn}", "", 0, False))
+        body = Rules(caps={"report": turn + 5}, homes={str(n): n % count for n in range(40 * turn)})
+        digest = proposer.settings.member.store_rules(body)
+        wish(world, others[0], VersionRequest(proposer.state.versions.number + 1, digest, ""))
+        wish(world, others[1], SlotRequest(world.node(others[1]).boot_id, "old"))
+        wish(world, others[2], DrainRequest(f"e{turn}", "", 0, False))
         match turn:
             case 0:
                 world.fault = partial(lossy, 0.3)
-                wish(world, others[3], WantRelease("new", (100, 500, 1000), ""))
+                wish(world, others[3], ReleaseRequest("new", (100, 500, 1000), ""))
             case 1:
                 world.fault = partial(apart, 1)
-                wish(world, others[3], WantTurn(HALTED, ""))
+                wish(world, others[3], ReleaseStatusRequest(HALTED, ""))
             case 2:
                 world.fault = partial(lossy, 0.05)
-                wish(world, others[3], WantTurn(RUNNING, ""))
+                wish(world, others[3], ReleaseStatusRequest(RUNNING, ""))
         world.run(1.5)
         leader = world.leader()
         victim = others[4] if leader is None or turn != 1 else leader
@@ -175,9 +183,9 @@
     listed(world, Random(9), 1)
     world.run(3)
     for number in world.up():
-        members = world.node(number).members
+        members = world.node(number).membership
         members.members = Looked(members.members)
-        numbers = members.by_life.numbers
+        numbers = members.by_state.numbers
         for life in numbers:
             numbers[life] = Looked(numbers[life])
     Looked.looks, events = 0, world.numbered
@@ -193,39 +201,40 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30)), max_size=300), st.integers(2, 6))
 def test_news_are_told_in_the_order_of_a_sorted_dictionary(steps: list[tuple[bool, int]], most: int) -> None:
-    news, plain = News(), dict[int, int]()
+    news, plain = UpdateQueue(), dict[int, int]()
     for tells, number in steps:
         if tells:
             chosen = sorted(plain, key=plain.__getitem__)[:8]
-            assert news.least(8) == chosen
+            assert news.least_sent(8) == chosen
             for told in [number, *chosen]:
-                news.tell(told, most)
+                news.mark_sent(told, most)
                 if told in plain:
                     plain[told] += 1
                     if plain[told] >= most:
                         del plain[told]
         else:
-            news.put(number)
+            news.add(number)
             plain[number] = 0
         assert len(news) == len(plain)
     assert len(news.heap) <= 4 * len(news) + 600  # what is outdated doesn't pile up
 
 
 @given(
-    st.lists(st.tuples(st.integers(0, 9), st.sampled_from(Life)), max_size=60), st.sets(st.integers(0, 11))
+    st.lists(st.tuples(st.integers(0, 9), st.sampled_from(MemberState)), max_size=60),
+    st.sets(st.integers(0, 11)),
 )
 def test_numbers_by_life_are_those_that_a_scan_finds(
-    steps: list[tuple[int, Life]], left_out: set[int]
+    steps: list[tuple[int, MemberState]], left_out: set[int]
 ) -> None:
-    by_life, plain = ByLife(10), [Life.GONE] * 10
+    by_life, plain = MembersByState(10), [MemberState.GONE] * 10
     for number, life in steps:
         by_life.move(number, plain[number], life)
         plain[number] = life
-    for life in Life:
+    for life in MemberState:
         found = [number for number in range(10) if plain[number] is life]
         assert by_life[life] == found
         rest = [number for number in found if number not in left_out]
-        without = Without(by_life[life], *left_out)
+        without = ExcludingView(by_life[life], *left_out)
         assert (list(without), len(without)) == (rest, len(rest))
         assert [number for number in range(12) if number in without] == rest
         seed = len(steps)
@@ -238,11 +247,11 @@
     def held() -> int:
         return sum(len(value) for value in vars(core).values() if hasattr(value, "__len__"))
 
-    core.assume((number + 1, 1) for number in range(5))
+    core.assume_alive((number + 1, 1) for number in range(5))
     before = held()
     for restart in range(500):
         now = restart * 1_000_000
-        core.heard(now, 3, 1000 + restart, 2 + restart, Leaving(0))
+        core.receive(now, 3, 1000 + restart, 2 + restart, Leave(0))
         core.tick(now)
-        core.out.clear()
+        core.outbox.clear()
     assert held() < before + 20
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -20,18 +20,18 @@
 from whintrail.gateway.counters import Counters
 from whintrail.standins.scripted import Deployment, Engine, query, wait_for
 from whintrail.timeline.core import Timeline
-from whintrail.timeline.judge import Thresholds
-from whintrail.timeline.kinds import Happening, Kind, Verdict
-from whintrail.timeline.live import QUEUE, Live
+from whintrail.timeline.detector import Thresholds
+from whintrail.timeline.events import Detection, Kind, Verdict
+from whintrail.timeline.live_view import FOLLOWER_QUEUE_LINES, LiveView
 from whintrail.timeline.store import Reader
 
 from .helpers import engine
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 @contextmanager
-def program(folder: Path, *engines: Engine, **timeline: object) -> Iterator[Deployment]:
+def running_gateway(folder: Path, *engines: Engine, **timeline: object) -> Iterator[Deployment]:
     """A gateway with an operator's file in its environment."""
     path = folder / "whintrail.json"
     path.write_text(json.dumps({"timeline": timeline}))
@@ -46,21 +46,21 @@
         given.end()
 
 
-def stop(given: Deployment) -> None:
+def stop_gateway(given: Deployment) -> None:
     given.gateway.signal(signal.SIGTERM)
     assert given.gateway.process.wait(15) == 0
 
 
-def test_every_send_and_its_end_stand_in_the_store_after_the_end(tmp_path: Path) -> None:
+def test_every_attempt_and_its_end_is_stored_after_shutdown(tmp_path: Path) -> None:
     one, two = Engine("s-1"), Engine("s-2")
     store = {"directory": str(tmp_path / "store"), "flush_every_s": 0.1}
-    with program(tmp_path, one, two, store=store) as given:
+    with running_gateway(tmp_path, one, two, store=store) as given:
         client = given.client()
         for _ in range(40):
             assert client.ask(query()).rows
         given.bulletin.publish(two.entry("leaving"))
         time.sleep(0.3)
-        stop(given)
+        stop_gateway(given)
         assert "event=timeline" in given.gateway.text()
     with Reader.open(tmp_path / "store") as reader:
         for each in (one, two):
@@ -73,16 +73,16 @@
     assert main(["timeline", "verify", "--store", str(tmp_path / "store")]) == 0
 
 
-def test_a_store_that_cannot_be_had_is_an_event_and_the_gateway_serves(tmp_path: Path) -> None:
+def test_an_unusable_store_is_logged_and_the_gateway_serves(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    with program(tmp_path, Engine(), store={"directory": str(tmp_path / "file")}) as given:
+    with running_gateway(tmp_path, Engine(), store={"directory": str(tmp_path / "file")}) as given:
         assert given.client().ask(query()).rows
         assert "the store is off" in given.gateway.text()
 
 
 def test_a_bad_operators_file_at_the_start_and_on_sighup(tmp_path: Path) -> None:
     path = tmp_path / "whintrail.json"
-    with program(tmp_path, Engine(), memory_mb=1) as given:
+    with running_gateway(tmp_path, Engine(), memory_mb=1) as given:
         path.write_text('{"timeline": {"memory_mb": "much"}}')
         given.gateway.signal(signal.SIGHUP)
         wait_for(lambda: "the old operator's file stays in force" in given.gateway.text())
@@ -98,7 +98,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = str(tmp_path / "t.sock")
-    with program(tmp_path, Engine("s-1"), socket=path) as given:
+    with running_gateway(tmp_path, Engine("s-1"), socket=path) as given:
         assert given.client().ask(query()).rows
         assert os.stat(path).st_mode & 0o077 == 0
         assert main(["timeline", "show", "--socket", path, "--format", "json"]) == 0
@@ -112,7 +112,7 @@
         assert sum(row["ok"] for row in rolled) == 1
         assert main(["timeline", "show", "--socket", path, "nobody"]) == 1
         assert main(["timeline", "events", "--socket", path]) == 0
-        stop(given)
+        stop_gateway(given)
     assert not os.path.exists(path)
     assert main(["timeline", "show", "--socket", path]) == 1
 
@@ -120,18 +120,18 @@
 # --- The live view alone.
 
 
-def line_with(*happenings: Happening) -> Timeline:
-    line = Timeline(1 << 20, 300 * SECOND, Thresholds(), ("short",), 0)
-    line.listed(SECOND, api.EngineList(api.ListKind.CACHED, (engine("e1"),)))
-    line.happenings.extend(happenings)
+def timeline_with(*detections: Detection) -> Timeline:
+    line = Timeline(1 << 20, 300 * SECOND_US, Thresholds(), ("short",), 0)
+    line.record_engine_list(SECOND_US, api.EngineListReceived(api.ListKind.CACHED, (engine("e1"),)))
+    line.detections.extend(detections)
     return line
 
 
-def happening(number: int) -> Happening:
-    return Happening("e1", Verdict.SLOW, True, number * SECOND, number * SECOND, {"times_peers": 4.0})
+def detection(number: int) -> Detection:
+    return Detection("e1", Verdict.SLOW, True, number * SECOND_US, number * SECOND_US, {"times_peers": 4.0})
 
 
-def talk(path: Path, requests: list[bytes]) -> list[list[bytes]]:
+def send_requests(path: Path, requests: list[bytes]) -> list[list[bytes]]:
     """Each on a connection of its own."""
     answers = []
     for request in requests:
@@ -147,7 +147,7 @@
     return answers
 
 
-def test_requests_that_cannot_be_used_get_one_error_and_harm_nobody(tmp_path: Path) -> None:
+def test_invalid_requests_get_one_error_and_affect_no_other_client(tmp_path: Path) -> None:
     path = tmp_path / "s"
     requests = [
         b"garbage\n",
@@ -159,9 +159,9 @@
     ]
 
     async def run() -> list[list[bytes]]:
-        live = Live(str(path), line_with(), 2, Counters())
+        live = LiveView(str(path), timeline_with(), 2, Counters())
         task = asyncio.create_task(live.run())
-        answers = await asyncio.to_thread(talk, path, requests)
+        answers = await asyncio.to_thread(send_requests, path, requests)
         task.cancel()
         live.close()
         return answers
@@ -171,7 +171,7 @@
     assert json.loads(answers[5][0])["engine"] == "e1"
 
 
-def test_a_follower_that_does_not_read_misses_events_and_holds_up_nobody(tmp_path: Path) -> None:
+def test_a_follower_that_does_not_read_misses_events_and_blocks_no_other(tmp_path: Path) -> None:
     path, got = tmp_path / "s", list[dict[str, object]]()
     release = threading.Event()
 
@@ -186,24 +186,24 @@
             with sock.makefile("rb") as file:
                 for line in file:
                     got.append(json.loads(line))
-                    if got[-1].get("at_us") == 99_999 * SECOND:
+                    if got[-1].get("at_us") == 99_999 * SECOND_US:
                         return
 
     async def run() -> None:
-        live = Live(str(path), line_with(happening(1)), 2, Counters())
+        live = LiveView(str(path), timeline_with(detection(1)), 2, Counters())
         task = asyncio.create_task(live.run())
         stuck = asyncio.create_task(asyncio.to_thread(follow, False))
         while not live.followers:
             await asyncio.sleep(0.01)
         for number in range(50):
-            live.tell([happening(number * 100 + n) for n in range(100)])
+            live.publish([detection(number * 100 + n) for n in range(100)])
             await asyncio.sleep(0.002)
         (follower,) = live.followers
-        assert len(follower.queue) <= QUEUE and follower.missed > 0
+        assert len(follower.queue) <= FOLLOWER_QUEUE_LINES and follower.missed > 0
         release.set()
         while follower.queue or follower.missed:
             await asyncio.sleep(0.01)
-        live.tell([happening(99_999)])
+        live.publish([detection(99_999)])
         await asyncio.wait_for(stuck, 10)
         while live.followers:  # what has gone leaves nothing behind
             await asyncio.sleep(0.01)
@@ -211,7 +211,7 @@
         live.close()
 
     asyncio.run(run())
-    assert got[0]["at_us"] == SECOND
+    assert got[0]["at_us"] == SECOND_US
     missed = sum(int(str(row["missed"])) for row in got if "missed" in row)
     assert missed > 0 and missed + sum("engine" in row for row in got) == 5002
 
@@ -219,20 +219,26 @@
 # --- The command line on a store.
 
 
-def store_of(folder: Path) -> None:
-    from .test_store import do, feed, timeline, writer
+def write_store(folder: Path) -> None:
+    from .test_store import feed_queries, make_timeline, make_writer, run_steps
 
-    line, store = timeline(), writer(folder)
-    feed(line, 400)
-    do(store.flush(line))
-    at = line.record.now
-    do(store.judged([Happening("e1", Verdict.SLOW, True, at - 2 * SECOND, at - 3 * SECOND, {"x": 3.0})]))
-    do(store.judged([Happening("e1", Verdict.SLOW, False, at - SECOND, at - SECOND, {})]))
+    line, store = make_timeline(), make_writer(folder)
+    feed_queries(line, 400)
+    run_steps(store.write_events(line))
+    at = line.history.now_us
+    run_steps(
+        store.write_detections(
+            [Detection("e1", Verdict.SLOW, True, at - 2 * SECOND_US, at - 3 * SECOND_US, {"x": 3.0})]
+        )
+    )
+    run_steps(
+        store.write_detections([Detection("e1", Verdict.SLOW, False, at - SECOND_US, at - SECOND_US, {})])
+    )
     store.close()
 
 
 def test_show_events_and_export_agree_on_a_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    store_of(tmp_path)
+    write_store(tmp_path)
     at = ["--store", str(tmp_path)]
     assert main(["timeline", "show", *at]) == 0
     assert capsys.readouterr().out.split() == ["ENGINE", "e0", "e1", "e2", "e3", "e4"]
@@ -254,7 +260,7 @@
 
 @pytest.mark.parametrize("suffix", ["png", "svg"])
 def test_an_incident_is_drawn(tmp_path: Path, suffix: str) -> None:
-    store_of(tmp_path / "store")
+    write_store(tmp_path / "store")
     out = tmp_path / f"incident.{suffix}"
     plot = ["timeline", "plot", "--store", str(tmp_path / "store")]
     assert main([*plot, "--out", str(out)]) == 0
--- a/tests/test_versions_processes.py
+++ b/tests/test_versions_processes.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from tests.test_fleet import Rig
+from tests.test_fleet import FleetRig
 from whintrail.cli import main
 from whintrail.standins.peers import fleet, lossy, sound, split
 from whintrail.standins.scripted import Answer, Bulletin, Engine, query, wait_for
 
 
 @contextmanager
-def rig(folder: Path, size: int = 4, engines: int = 2) -> Iterator[Rig]:
+def start_rig(folder: Path, size: int = 4, engines: int = 2) -> Iterator[FleetRig]:
     def operator(number: int, build: str) -> dict[str, Any]:
         part = {"name": "f", "council": [0, 1, 2], "use_within_s": 1.0, "quarantine_s": 2.0}
         versions = {"lease_s": 1.0, "check_s": 8.0}  # longer than any is stopped here
@@ -26,12 +26,12 @@
 
     stands = [Engine(f"s-{n + 1}") for n in range(engines)]
     with fleet(size, *stands, operator=operator) as given:
-        found = Rig(given, folder)
-        found.wait_leader()
+        found = FleetRig(given, folder)
+        found.wait_for_leader()
         yield found
 
 
-def asked(given: Rig, number: int, text: str) -> Answer:
+def ask_gateway(given: FleetRig, number: int, text: str) -> Answer:
     client = given.fleet.client(number)
     try:
         return client.ask(text)
@@ -39,32 +39,32 @@
         client.close()
 
 
-def in_force(given: Rig, number: int, everywhere: range) -> bool:
-    rows = [given.ask(n, "settings") for n in everywhere]
+def in_force(given: FleetRig, number: int, everywhere: range) -> bool:
+    rows = [given.request(n, "settings") for n in everywhere]
     return all(row["acts_by"] == str(number) and row["leased"] for row in rows)
 
 
-def propose(given: Rig, who: int, body: dict[str, Any], word: str = "done") -> None:
-    row = given.ask(who, "propose", body=body, wait_s=5)
+def propose(given: FleetRig, who: int, body: dict[str, Any], word: str = "done") -> None:
+    row = given.request(who, "propose", body=body, wait_s=5)
     assert row["word"] == word, row
 
 
 def test_a_version_is_in_force_everywhere_and_back_again_by_command_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with rig(tmp_path) as given:
+    with start_rig(tmp_path) as given:
         file = tmp_path / "rules.jsonnet"
         file.write_text("{ rules: { paused: ['report'], shut: ['s-1'], caps: { lookup: 0 + 50 } } }")
         to = ["--socket", given.socket(3)]
         assert main(["settings", "propose", str(file), "--why", "jam", *to]) == 0
         wait_for(lambda: in_force(given, 1, range(4)))
         for number in range(4):
-            assert asked(given, number, query("report")).sqlstate == "53000"
-            assert asked(given, number, query()).rows
+            assert ask_gateway(given, number, query("report")).sqlstate == "53000"
+            assert ask_gateway(given, number, query()).rows
         assert not given.fleet.engines[0].done
         assert main(["settings", "back", "0", *to]) == 0
         wait_for(lambda: in_force(given, 2, range(4)))
-        assert all(asked(given, number, query("report")).rows for number in range(4))
+        assert all(ask_gateway(given, number, query("report")).rows for number in range(4))
         capsys.readouterr()
         assert main(["settings", "diff", "1", "2", *to]) == 0
         assert "$.paused.report" in capsys.readouterr().out
@@ -81,22 +81,22 @@
 
 
 def test_two_proposals_at_once_and_the_proposer_killed(tmp_path: Path) -> None:
-    with rig(tmp_path) as given:
+    with start_rig(tmp_path) as given:
         propose(given, 2, {"caps": {"lookup": 7}})
         propose(given, 3, {"caps": {"lookup": 8}}, "refused")
         given.kill(2)
         given.start(2)
         # It is in force if all had its body by then, or was dropped: never half.
-        wait_for(lambda: given.ask(0, "settings")["next"] is None)
-        number = given.ask(0, "settings")["in_force"]
+        wait_for(lambda: given.request(0, "settings")["next"] is None)
+        number = given.request(0, "settings")["in_force"]
         wait_for(lambda: in_force(given, number, range(4)))
         propose(given, 3, {"caps": {"lookup": 8}})
         wait_for(lambda: in_force(given, number + 1, range(4)))
-        assert {given.ask(n, "settings")["rules"]["caps"]["lookup"] for n in range(4)} == {8}
+        assert {given.request(n, "settings")["rules"]["caps"]["lookup"] for n in range(4)} == {8}
 
 
-def test_one_that_stood_still_across_a_change_refuses_at_once_when_it_wakes(tmp_path: Path) -> None:
-    with rig(tmp_path) as given:
+def test_a_gateway_paused_during_a_change_refuses_at_once_when_it_resumes(tmp_path: Path) -> None:
+    with start_rig(tmp_path) as given:
         client = given.fleet.client(3)
         assert client.ask(query()).rows
         process = given.fleet.gateways[3].process
@@ -110,28 +110,28 @@
         assert client.answer().sqlstate == "53000"  # by the merge of what it knew last
         client.close()
         wait_for(lambda: in_force(given, 2, range(4)))
-        assert asked(given, 3, query("report")).sqlstate == "53000"
+        assert ask_gateway(given, 3, query("report")).sqlstate == "53000"
 
 
-def test_a_minority_serves_on_and_a_returning_one_learns(tmp_path: Path) -> None:
-    with rig(tmp_path, size=5) as given:
+def test_a_minority_keeps_serving_and_a_restarted_gateway_catches_up(tmp_path: Path) -> None:
+    with start_rig(tmp_path, size=5) as given:
         given.fleet.relay.fault = lossy(0.2, most_s=0.02)
         propose(given, 4, {"caps": {"lookup": 7}})
         wait_for(lambda: in_force(given, 1, range(5)))
         given.fleet.relay.fault = split({0, 4}, {1, 2, 3})
-        given.wait_leader(but=0)
-        wait_for(lambda: not given.ask(4, "settings")["leased"])
-        assert asked(given, 4, query()).rows
+        given.wait_for_leader(excluded=0)
+        wait_for(lambda: not given.request(4, "settings")["leased"])
+        assert ask_gateway(given, 4, query()).rows
         propose(given, 4, {"caps": {"lookup": 1}}, "later")
         given.kill(2)
         given.start(2)  # from nothing
         given.fleet.relay.fault = sound
         wait_for(lambda: in_force(given, 1, range(5)))
-        assert given.ask(2, "settings")["rules"]["caps"] == {"lookup": 7}
+        assert given.request(2, "settings")["rules"]["caps"] == {"lookup": 7}
 
 
-def test_a_gateway_whose_bulletin_is_late_takes_from_others_only_what_is_stricter(tmp_path: Path) -> None:
-    with rig(tmp_path) as given:
+def test_a_gateway_with_a_late_bulletin_takes_only_exclusions_from_peers(tmp_path: Path) -> None:
+    with start_rig(tmp_path) as given:
         one, two = given.fleet.engines
         late = given.fleet.own[3] = Bulletin()
         late.publish(one.entry(), two.entry(), reset=True)
@@ -140,25 +140,25 @@
         late.mute = True
         shared = given.fleet.bulletin
         shared.publish(one.entry("leaving"))  # the second generation
-        wait_for(lambda: given.ask(3, "lists")["shut_by_others"] == ["s-1"])
+        wait_for(lambda: given.request(3, "lists")["shut_by_others"] == ["s-1"])
         before = len(one.done)
         client = given.fleet.client(3)
         assert all(client.ask(query()).rows for _ in range(10))
         client.close()
         assert len(one.done) == before
-        wait_for(lambda: given.ask(3, "lists")["old"])
-        assert not given.ask(0, "lists")["old"]
+        wait_for(lambda: given.request(3, "lists")["old"])
+        assert not given.request(0, "lists")["old"]
         late.publish(one.entry("leaving"))
         late.mute = False
-        wait_for(lambda: given.ask(3, "lists")["shut_by_others"] == [])
-        assert given.ask(3, "lists")["digest"] == given.ask(0, "lists")["digest"]
+        wait_for(lambda: given.request(3, "lists")["shut_by_others"] == [])
+        assert given.request(3, "lists")["digest"] == given.request(0, "lists")["digest"]
         late.publish(one.entry(), reset=True)  # a third of its own: another list under that generation
         shared.publish(one.entry("left"))
-        wait_for(lambda: given.ask(3, "lists")["contradictions"] > 0)
+        wait_for(lambda: given.request(3, "lists")["contradictions"] > 0)
         assert main(["lists", "status", "--socket", given.socket(3)]) == 0
 
 
-def test_rules_of_a_file_hold_by_sighup_where_there_are_no_versions(tmp_path: Path) -> None:
+def test_rules_of_a_file_apply_on_sighup_without_versions(tmp_path: Path) -> None:
     """Today's way. A file that can't be used changes nothing; without rules all is as before."""
     rules: dict[str, Any] = {"paused": ["report"]}
     with fleet(1, Engine("s-1"), operator=lambda number, build: {"rules": rules}) as given:
@@ -180,11 +180,11 @@
         client.close()
 
 
-def test_rules_of_a_file_are_only_told_where_versions_are_agreed(tmp_path: Path) -> None:
-    with rig(tmp_path, size=3) as given:
+def test_rules_of_a_file_are_only_compared_where_versions_are_agreed(tmp_path: Path) -> None:
+    with start_rig(tmp_path, size=3) as given:
         file = given.fleet.folder / "n2" / "operator.jsonnet"
         data = json.loads(file.read_text())
         file.write_text(json.dumps({**data, "rules": {"paused": ["report"]}}))
         given.fleet.gateways[2].signal(signal.SIGHUP)
         wait_for(lambda: "rules of the file differ" in given.fleet.gateways[2].text())
-        assert asked(given, 2, query("report")).rows
+        assert ask_gateway(given, 2, query("report")).rows
--- a/whintrail/background/__init__.py
+++ b/whintrail/background/__init__.py
@@ -1,6 +1,6 @@
 """Work that may wait: jobs with priorities, within a share of the loop's time."""
 
-from whintrail.background.plan import Job, Plan, Priority
-from whintrail.background.runner import Runner
+from whintrail.background.queue import Job, JobQueue, Priority
+from whintrail.background.runner import JobRunner
 
-__all__ = ["Job", "Plan", "Priority", "Runner"]
+__all__ = ["Job", "JobQueue", "JobRunner", "Priority"]
--- a/whintrail/cli/check.py
+++ b/whintrail/cli/check.py
@@ -6,7 +6,7 @@
 from whintrail.config import OperatorFileError, read_operator_file
 
 
-class BadFile(click.ClickException):
+class InvalidFile(click.ClickException):
     exit_code = 2
 
 
@@ -23,7 +23,7 @@
     try:
         given = read_operator_file(file)
     except OperatorFileError as error:
-        raise BadFile(str(error)) from error
+        raise InvalidFile(str(error)) from error
     if show:
         click.echo(msgspec.json.format(msgspec.json.encode(given), indent=2).decode())
     else:
--- a/whintrail/cli/demo.py
+++ b/whintrail/cli/demo.py
@@ -37,7 +37,7 @@
         ended = loop.create_task(process.wait())
         stopping = loop.create_task(stop.wait())
         try:
-            if await _serves(port, ended):
+            if await _wait_until_serving(port, ended):
                 click.echo(f"{engines} stand-in engines behind a gateway on 127.0.0.1:{port}. Ask it:")
                 click.echo(
                     f'  psql "host=127.0.0.1 port={port} user=app dbname=dw sslmode=disable" -c'
@@ -54,10 +54,10 @@
     return code
 
 
-async def _serves(port: int, ended: "asyncio.Task[int]") -> bool:
+async def _wait_until_serving(port: int, process_ended: "asyncio.Task[int]") -> bool:
     from whintrail.standins.load import LoadClient
 
-    while not ended.done():
+    while not process_ended.done():
         client = LoadClient(port)
         try:
             await client.open()
--- a/whintrail/cli/fleet.py
+++ b/whintrail/cli/fleet.py
@@ -6,11 +6,11 @@
 
 import click
 
-from whintrail.cli.output import emit, format_option
-from whintrail.control.lines import LinesError, ask_lines
+from whintrail.cli.output import format_option, print_rows
+from whintrail.control.json_lines import ControlError, send_request
 
-EXIT_REFUSED, EXIT_LATER = 3, 4  # 1 and 2 are those of every sub-command
-MEMBERS = ["member", "state", "out", "build", "zone", "since_s"]
+EXIT_REFUSED, EXIT_TIMED_OUT = 3, 4  # 1 and 2 are those of every sub-command
+MEMBER_COLUMNS = ["member", "state", "out", "build", "zone", "since_s"]
 
 socket_option = click.option(
     "--socket",
@@ -26,28 +26,28 @@
 )
 
 
-def rows(path: str, patience_s: float = 10.0, **request: Any) -> list[dict[str, Any]]:
+def fetch_rows(path: str, timeout_s: float = 10.0, **request: Any) -> list[dict[str, Any]]:
     """Errors: ClickException."""
     try:
-        return list(ask_lines(path, request, patience_s))
-    except LinesError as error:
+        return list(send_request(path, request, timeout_s))
+    except ControlError as error:
         raise click.ClickException(str(error)) from error
 
 
-def settle(path: str, form: str, wait_s: float, done: str, **request: Any) -> int:
+def submit_change(path: str, form: str, wait_s: float, done_text: str, **request: Any) -> int:
     """Ask for a change and print its outcome; the exit code: 0 done, 3 refused, 4 not within the time."""
-    found = rows(path, wait_s + 5, wait_s=wait_s, **request)
+    found = fetch_rows(path, wait_s + 5, wait_s=wait_s, **request)
     if not found:
         raise click.ClickException("the gateway ended before it answered")
     row = found[0]
     if form == "json":
-        emit([row], [], form)
+        print_rows([row], [], form)
     elif row["word"] == "done":
         fence = f" (fence {row['fence']})" if row["fence"] else ""
-        click.echo(f"{done}{fence}{': ' + row['text'] if row['text'] else ''}")
+        click.echo(f"{done_text}{fence}{': ' + row['text'] if row['text'] else ''}")
     else:
         click.echo(f"whintrail: {row['word']}: {row['text'] or 'no answer'}", err=True)
-    return {"done": 0, "refused": EXIT_REFUSED}.get(row["word"], EXIT_LATER)
+    return {"done": 0, "refused": EXIT_REFUSED}.get(row["word"], EXIT_TIMED_OUT)
 
 
 @click.group()
@@ -71,9 +71,9 @@
 @format_option
 def status(path: str, form: str) -> int:
     """What is agreed, as this gateway knows it; the leader also tells who is out."""
-    row = rows(path, what="status")[0]
+    row = fetch_rows(path, what="status")[0]
     if form == "json":
-        emit([row], [], form)
+        print_rows([row], [], form)
     else:
         for name, value in row.items():
             if isinstance(value, dict):
@@ -87,7 +87,7 @@
 @format_option
 def members(path: str, form: str) -> int:
     """Every gateway as this one sees it; builds and zones are known to the leader."""
-    emit(rows(path, what="members"), MEMBERS, form)
+    print_rows(fetch_rows(path, what="members"), MEMBER_COLUMNS, form)
     return 0
 
 
@@ -102,7 +102,7 @@
 def drain(engine: str, why: str, limit_s: int, undo: bool, wait_s: float, path: str, form: str) -> int:
     """No gateway sends anything new to an engine. Answered once agreed; `status` tells when it is done."""
     request = {"what": "drain", "engine": engine, "why": why, "limit_s": limit_s, "undo": undo}
-    return settle(path, form, wait_s, f"{engine} is drained", **request)
+    return submit_change(path, form, wait_s, f"{engine} is drained", **request)
 
 
 @fleet.command()
@@ -113,7 +113,7 @@
 @format_option
 def undrain(engine: str, why: str, wait_s: float, path: str, form: str) -> int:
     """The way back of `drain`."""
-    return settle(path, form, wait_s, f"{engine} is back", what="undrain", engine=engine, why=why)
+    return submit_change(path, form, wait_s, f"{engine} is back", what="undrain", engine=engine, why=why)
 
 
 @fleet.command("may-restart")
@@ -128,7 +128,7 @@
     back and the stop counts as one without a slot.
     """
     request = {"what": "may-restart", "wait": wait_s > 0, "stop": stop}
-    return settle(path, form, wait_s or 2.0, "it may restart", **request)
+    return submit_change(path, form, wait_s or 2.0, "it may restart", **request)
 
 
 @fleet.command("give-up")
@@ -138,7 +138,7 @@
 @format_option
 def give_up(member: int, wait_s: float, path: str, form: str) -> int:
     """Free the slot of a gateway that will not come back under its own power."""
-    return settle(path, form, wait_s, f"n{member} holds no slot", what="give-up", member=member)
+    return submit_change(path, form, wait_s, f"n{member} holds no slot", what="give-up", member=member)
 
 
 @fleet.group()
@@ -146,7 +146,7 @@
     """A release in steps: each compares the new build with the old one, and goes on, waits or halts."""
 
 
-def read_steps(text: str) -> tuple[float, ...]:
+def parse_steps(text: str) -> tuple[float, ...]:
     try:
         return tuple(float(part) for part in text.split(","))
     except ValueError as error:
@@ -166,14 +166,14 @@
 @click.option("--fleet-size", type=click.IntRange(1), default=200, show_default=True)
 def plan(build: str, steps: str, fleet_size: int) -> int:
     """How many gateways each step would put on the build; asks nobody."""
-    shares = read_steps(steps)
+    shares = parse_steps(steps)
     check_steps(shares)
     table = [
         {"step": place + 1, "share": share, "gateways": max(1, -(-round(share * 1000) * fleet_size // 1000))}
         for place, share in enumerate(shares)
     ]
     click.echo(f"to {build}")
-    emit(table, ["step", "share", "gateways"], "table")
+    print_rows(table, ["step", "share", "gateways"], "table")
     return 0
 
 
@@ -187,25 +187,25 @@
 @format_option
 def start(build: str, steps: str, by_zone: bool, why: str, wait_s: float, path: str, form: str) -> int:
     """Begin a release; supervisors then get their slots by `may-restart`."""
-    shares = read_steps(steps)
+    shares = parse_steps(steps)
     check_steps(shares)
     request = {"what": "release", "build": build, "steps": shares, "why": why, "by_zone": by_zone}
-    return settle(path, form, wait_s, f"release to {build}", **request)
+    return submit_change(path, form, wait_s, f"release to {build}", **request)
 
 
-def turning(name: str, text: str, done: str) -> None:
-    @release.command(name, help=text)
+def add_status_command(name: str, help_text: str, done_text: str) -> None:
+    @release.command(name, help=help_text)
     @why_option
     @wait_option
     @socket_option
     @format_option
     def turn(why: str, wait_s: float, path: str, form: str) -> int:
-        return settle(path, form, wait_s, done, what=name, why=why)
+        return submit_change(path, form, wait_s, done_text, what=name, why=why)
 
 
-turning("halt", "Nothing more goes out for the release.", "halted")
-turning("resume", "Go on with a halted release.", "resumed")
-turning("back", "Return to the old build, in the same slots.", "it goes back")
+add_status_command("halt", "Nothing more goes out for the release.", "halted")
+add_status_command("resume", "Go on with a halted release.", "resumed")
+add_status_command("back", "Return to the old build, in the same slots.", "it goes back")
 
 
 @fleet.command()
@@ -214,9 +214,9 @@
 def watch(path: str, form: str) -> int:
     """What is decided, as it is decided, until interrupted."""
     try:
-        for row in ask_lines(path, {"what": "watch"}, None):
-            emit([row], ["at", "event", *[key for key in row if key not in ("at", "event")]], form)
+        for row in send_request(path, {"what": "watch"}, None):
+            print_rows([row], ["at", "event", *[key for key in row if key not in ("at", "event")]], form)
             sys.stdout.flush()
-    except LinesError as error:
+    except ControlError as error:
         raise click.ClickException(str(error)) from error
     return 0
--- a/whintrail/cli/output.py
+++ b/whintrail/cli/output.py
@@ -12,13 +12,13 @@
 )
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return "-"
     return f"{value:.4g}" if isinstance(value, float) else str(value)
 
 
-def emit(rows: Iterable[Mapping[str, Any]], columns: Sequence[str], form: str) -> int:
+def print_rows(rows: Iterable[Mapping[str, Any]], columns: Sequence[str], form: str) -> int:
     """Print the rows; how many they were. A table's widths are those of its first 1,000 rows."""
     count = 0
     if form == "json":
@@ -30,7 +30,7 @@
     source = iter(rows)
     head: list[list[str]] = []
     for row in source:
-        head.append([_cell(row.get(column)) for column in columns])
+        head.append([_format_cell(row.get(column)) for column in columns])
         if len(head) == 1000:
             break
     widths = [
@@ -46,6 +46,6 @@
         write(line)
     count = len(head)
     for row in source:
-        write([_cell(row.get(column)) for column in columns])
+        write([_format_cell(row.get(column)) for column in columns])
         count += 1
     return count
--- a/whintrail/cli/root.py
+++ b/whintrail/cli/root.py
@@ -21,28 +21,30 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """Sub-commands by name; the module of one is imported only when it is used or helped with."""
 
-    places = COMMANDS
-    needs = "requirements-operator.txt"
+    command_paths = COMMANDS
+    requirements_file = "requirements-operator.txt"
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return list(self.places)
+        return list(self.command_paths)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if (where := self.places.get(cmd_name)) is None:
+        if (where := self.command_paths.get(cmd_name)) is None:
             return None
         module, _, name = where.partition(":")
         try:
             command = getattr(importlib.import_module(module), name)
         except ModuleNotFoundError as error:
-            raise click.ClickException(f"{cmd_name} needs {error.name}: install {self.needs}") from error
+            raise click.ClickException(
+                f"{cmd_name} needs {error.name}: install {self.requirements_file}"
+            ) from error
         assert isinstance(command, click.Command)
         return command
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="whintrail", message="%(version)s")
 def root() -> None:
     """A query gateway for engines short of memory.
--- a/whintrail/cli/scale.py
+++ b/whintrail/cli/scale.py
@@ -2,11 +2,11 @@
 
 import click
 
-from whintrail.cli.root import Lazy
+from whintrail.cli.root import LazyGroup
 
 
-class LazyScale(Lazy):
-    places = {  # noqa: RUF012
+class LazyScaleGroup(LazyGroup):
+    command_paths = {  # noqa: RUF012
         "slopes": "whintrail.scale.slopes:slopes",
         "simulate": "whintrail.scale.simulate:simulate",
         "ways": "whintrail.scale.ways:ways",
@@ -16,10 +16,10 @@
         "report": "whintrail.scale.page:report",
         "check": "whintrail.scale.page:check",
     }
-    needs = "requirements-scale.txt"
+    requirements_file = "requirements-scale.txt"
 
 
-@click.group(cls=LazyScale)
+@click.group(cls=LazyScaleGroup)
 def scale() -> None:
     """What a size costs: measured at several sizes, fitted, and held against budgets.
 
--- a/whintrail/cli/settings.py
+++ b/whintrail/cli/settings.py
@@ -8,11 +8,11 @@
 import msgspec
 import rjsonnet
 
-from whintrail.cli.fleet import rows, settle, socket_option, wait_option, why_option
-from whintrail.cli.output import emit, format_option
-from whintrail.versions.body import Body, BodyError, differences, meet, read_body
+from whintrail.cli.fleet import fetch_rows, socket_option, submit_change, wait_option, why_option
+from whintrail.cli.output import format_option, print_rows
+from whintrail.versions.rules import Rules, RulesError, differences, merge_strict, parse_rules
 
-ORDERS = {
+SETTING_HELP = {
     "shut": "engines to which nothing new goes; more of them is stricter",
     "paused": "classes of which nothing new is taken; more of them is stricter",
     "caps": "queries of a class in hand at one gateway, at most; fewer is stricter",
@@ -22,7 +22,7 @@
 }
 
 
-def read_file(path: str) -> dict[str, Any]:
+def read_rules_file(path: str) -> dict[str, Any]:
     """The rules of a Jsonnet file: its `rules`, or all of it. Errors: ClickException."""
     try:
         data = json.loads(rjsonnet.evaluate_snippet(path, Path(path).read_text("utf-8")))
@@ -31,8 +31,8 @@
         raise click.ClickException(f"{path}: {reason}") from error
     found = data.get("rules", data) if isinstance(data, dict) else data
     try:
-        read_body(found)
-    except BodyError as error:
+        parse_rules(found)
+    except RulesError as error:
         raise click.ClickException(f"{path}: {error}") from error
     assert isinstance(found, dict)
     return found
@@ -63,8 +63,8 @@
 def propose(file: str, why: str, wait_s: float, path: str, form: str) -> int:
     """Propose a file's rules as the next version. Answered once it is agreed on as a proposal; `status` tells
     whether it came into force, or who vetoed it and why."""
-    body = read_file(file)
-    return settle(path, form, wait_s, "proposed", what="propose", body=body, why=why)
+    body = read_rules_file(file)
+    return submit_change(path, form, wait_s, "proposed", what="propose", body=body, why=why)
 
 
 @settings.command()
@@ -75,7 +75,9 @@
 @format_option
 def back(number: int, why: str, wait_s: float, path: str, form: str) -> int:
     """A new version with the rules of an old one."""
-    return settle(path, form, wait_s, f"proposed as in version {number}", what="back-to", a=number, why=why)
+    return submit_change(
+        path, form, wait_s, f"proposed as in version {number}", what="back-to", a=number, why=why
+    )
 
 
 @settings.command()
@@ -83,12 +85,12 @@
 @format_option
 def status(path: str, form: str) -> int:
     """By which version this gateway acts, for how long yet, and T: the longest that two can differ."""
-    return show(rows(path, what="settings")[0], form)
+    return print_status(fetch_rows(path, what="settings")[0], form)
 
 
-def show(row: dict[str, Any], form: str) -> int:
+def print_status(row: dict[str, Any], form: str) -> int:
     if form == "json":
-        emit([row], [], form)
+        print_rows([row], [], form)
     else:
         for name, value in row.items():
             click.echo(f"{name:14} {'-' if value is None else value}")
@@ -100,7 +102,7 @@
 @format_option
 def history(path: str, form: str) -> int:
     """Versions, the newest first: who, when, why."""
-    emit(rows(path, what="history"), ["version", "state", "by", "at", "why", "digest"], form)
+    print_rows(fetch_rows(path, what="history"), ["version", "state", "by", "at", "why", "digest"], form)
     return 0
 
 
@@ -111,23 +113,23 @@
 @format_option
 def diff(a: int, b: int, path: str, form: str) -> int:
     """What differs between two versions that the gateway holds."""
-    emit(rows(path, what="diff", a=a, b=b), ["path", "before", "after"], form)
+    print_rows(fetch_rows(path, what="diff", a=a, b=b), ["path", "before", "after"], form)
     return 0
 
 
 @settings.command()
-@click.argument("setting", type=click.Choice(list(ORDERS)), required=False)
+@click.argument("setting", type=click.Choice(list(SETTING_HELP)), required=False)
 @click.option("--between", "files", nargs=2, type=click.Path(dir_okay=False), help="Two files.")
 def explain(setting: str | None, files: tuple[str, str] | None) -> int:
     """What a setting means and which of two values is the stricter; or what lies between two files."""
-    for name, text in ORDERS.items():
+    for name, text in SETTING_HELP.items():
         if setting in (None, name) and files is None:
             click.echo(f"{name:10} {text}")
     if files is not None:
-        one, other = (read_body(read_file(file)) for file in files)
+        one, other = (parse_rules(read_rules_file(file)) for file in files)
         try:
-            strict: Body = meet(one, other)
-        except BodyError as error:
+            strict: Rules = merge_strict(one, other)
+        except RulesError as error:
             raise click.ClickException(f"no version lies between them: {error}") from error
         click.echo(msgspec.json.format(msgspec.json.encode(strict), indent=2).decode())
         for place, before, after in differences(one, other):
@@ -150,4 +152,4 @@
 @format_option
 def lists_status(path: str, form: str) -> int:
     """Generation and digest, whether the bulletin is silent, and what others' newer lists shut."""
-    return show(rows(path, what="lists")[0], form)
+    return print_status(fetch_rows(path, what="lists")[0], form)
--- a/whintrail/cli/timeline.py
+++ b/whintrail/cli/timeline.py
@@ -11,17 +11,29 @@
 import click
 import msgspec
 
-from whintrail.cli.output import emit, format_option
-from whintrail.control.lines import LinesError, ask_lines
-from whintrail.timeline.kinds import Row
-from whintrail.timeline.live import happening_row
+from whintrail.cli.output import format_option, print_rows
+from whintrail.control.json_lines import ControlError, send_request
+from whintrail.timeline.events import Row
+from whintrail.timeline.live_view import detection_row
 from whintrail.timeline.store import Reader
 
-UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
-LEVELS = {"raw": None, "1s": 0, "10s": 1, "1m": 2}
-SHOW = ["time", "engine", "kind", "what"]
-ROLLED = ["time", "sends", "ok", "errors", "full", "lost", "moved", "passed", "load", "p50_ms", "p95_ms"]
-EVENTS = ["time", "engine", "event", "begins", "since", "evidence"]
+UNIT_SECONDS = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
+ROLLUP_LEVELS = {"raw": None, "1s": 0, "10s": 1, "1m": 2}
+EVENT_COLUMNS = ["time", "engine", "kind", "what"]
+ROLLUP_COLUMNS = [
+    "time",
+    "sends",
+    "ok",
+    "errors",
+    "full",
+    "lost",
+    "moved",
+    "passed",
+    "load",
+    "p50_ms",
+    "p95_ms",
+]
+DETECTION_COLUMNS = ["time", "engine", "event", "begins", "since", "evidence"]
 
 
 class Time(click.ParamType[int]):
@@ -33,7 +45,7 @@
         if isinstance(value, int):
             return value
         if found := re.fullmatch(r"(\d+(?:\.\d+)?)([smhd])", value):
-            return int((time.time() - float(found[1]) * UNITS[found[2]]) * 1e6)
+            return int((time.time() - float(found[1]) * UNIT_SECONDS[found[2]]) * 1e6)
         if re.fullmatch(r"\d+(\.\d+)?", value):
             return int(float(value) * 1e6)
         try:
@@ -43,15 +55,15 @@
         return int((at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp() * 1e6)
 
 
-def clock(us: int) -> str:
+def format_time(us: int) -> str:
     return datetime.fromtimestamp(us / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
 
 
-def ask(path: str, **request: Any) -> Iterator[dict[str, Any]]:
+def request_rows(path: str, **request: Any) -> Iterator[dict[str, Any]]:
     """Rows from the live view. Errors: ClickException."""
     try:
-        yield from ask_lines(path, request, None if request.get("follow") else 10.0)
-    except LinesError as error:
+        yield from send_request(path, request, None if request.get("follow") else 10.0)
+    except ControlError as error:
         raise click.ClickException(str(error)) from error
 
 
@@ -62,7 +74,7 @@
     return reader
 
 
-def one_source(store: str | None, path: str | None) -> None:
+def require_one_source(store: str | None, path: str | None) -> None:
     if (store is None) == (path is None):
         raise click.UsageError("name one source: --store DIRECTORY or --socket PATH")
 
@@ -93,7 +105,7 @@
 @socket_option
 @since_option
 @until_option
-@click.option("--level", type=click.Choice(list(LEVELS)), default="raw", show_default=True)
+@click.option("--level", type=click.Choice(list(ROLLUP_LEVELS)), default="raw", show_default=True)
 @click.option("--limit", type=click.IntRange(1), help="The last so many rows only.")
 @format_option
 def show(
@@ -112,41 +124,41 @@
     Example:
       whintrail timeline show --store DIR s-12 --since 18:00 --level 10s
     """
-    one_source(store, path)
-    columns = SHOW if level == "raw" else ROLLED
+    require_one_source(store, path)
+    columns = EVENT_COLUMNS if level == "raw" else ROLLUP_COLUMNS
     if engine is None:
         columns = ["engine", "kind", "state", "held", "load", "verdicts"]
         if path is not None:
-            emit(ask(path, what="engines"), columns, form)
+            print_rows(request_rows(path, what="engines"), columns, form)
         else:
             assert store is not None
             with open_store(store) as reader:
-                emit(({"engine": name} for name in reader.engines()), ["engine"], form)
+                print_rows(({"engine": name} for name in reader.engines()), ["engine"], form)
         return 0
     if path is not None:
-        request = {"engine": engine, "since_us": since, "until_us": until, "level": LEVELS[level]}
-        rows: Iterator[dict[str, Any]] = ask(path, what="show", **request)
-        count = emit(tail(timed(rows), limit), columns, form)
+        request = {"engine": engine, "since_us": since, "until_us": until, "level": ROLLUP_LEVELS[level]}
+        rows: Iterator[dict[str, Any]] = request_rows(path, what="show", **request)
+        count = print_rows(last_rows(add_time_column(rows), limit), columns, form)
     else:
         assert store is not None
         with open_store(store) as reader:
             if level == "raw":
                 classes = reader.classes
-                rows = (shown(row, classes) for row in reader.rows(engine, since, until))
+                rows = (event_row(row, classes) for row in reader.rows(engine, since, until))
             else:
-                if LEVELS[level] == 0:
+                if ROLLUP_LEVELS[level] == 0:
                     raise click.UsageError("the store keeps raw events and roll-ups of 10s and 1m")
-                found = reader.rollups(engine, LEVELS[level] or 0, since, until)
-                rows = timed(bucket.summary() for bucket in found)
-            count = emit(tail(rows, limit), columns, form)
+                found = reader.rollups(engine, ROLLUP_LEVELS[level] or 0, since, until)
+                rows = add_time_column(bucket.summary() for bucket in found)
+            count = print_rows(last_rows(rows, limit), columns, form)
     if not count:
         click.echo(f"whintrail: nothing about {engine} in that time", err=True)
     return 0 if count else 1
 
 
-def shown(row: Row, classes: tuple[str, ...]) -> dict[str, Any]:
+def event_row(row: Row, classes: tuple[str, ...]) -> dict[str, Any]:
     return {
-        "time": clock(row.at_us),
+        "time": format_time(row.at_us),
         "at_us": row.at_us,
         "engine": row.engine,
         "kind": row.kind.name.lower(),
@@ -154,12 +166,12 @@
     }
 
 
-def timed(rows: Any) -> Iterator[dict[str, Any]]:
+def add_time_column(rows: Any) -> Iterator[dict[str, Any]]:
     for row in rows:
-        yield {"time": clock(row["at_us"]), **row}
+        yield {"time": format_time(row["at_us"]), **row}
 
 
-def tail(rows: Iterator[dict[str, Any]], limit: int | None) -> Iterator[dict[str, Any]]:
+def last_rows(rows: Iterator[dict[str, Any]], limit: int | None) -> Iterator[dict[str, Any]]:
     if limit is None:
         return rows
     from collections import deque
@@ -167,13 +179,13 @@
     return iter(deque(rows, maxlen=limit))
 
 
-def told(rows: Any, form: str) -> Iterator[dict[str, Any]]:
+def detection_rows(rows: Any, form: str) -> Iterator[dict[str, Any]]:
     """Happenings as rows; in a table the evidence is one cell."""
     for row in rows:
         if "missed" in row:
             click.echo(f"whintrail: {row['missed']} events missed: this reader was too slow", err=True)
             continue
-        row = {"time": clock(row["at_us"]), "since": clock(row["since_us"]), **row}
+        row = {"time": format_time(row["at_us"]), "since": format_time(row["since_us"]), **row}
         if form == "table":
             row["evidence"] = " ".join(f"{name}={value:.4g}" for name, value in row["evidence"].items())
         yield row
@@ -196,25 +208,25 @@
     Example:
       whintrail timeline events --socket PATH --follow --format json
     """
-    one_source(store, path)
+    require_one_source(store, path)
     if path is not None:
-        rows = ask(path, what="events", engine=engine, since_us=since, follow=follow)
+        rows = request_rows(path, what="events", engine=engine, since_us=since, follow=follow)
         if follow:
-            for row in told(rows, form):
+            for row in detection_rows(rows, form):
                 if form == "json":
                     sys.stdout.buffer.write(msgspec.json.encode(row) + b"\n")
                 else:
-                    click.echo("  ".join(str(row[column]) for column in EVENTS))
+                    click.echo("  ".join(str(row[column]) for column in DETECTION_COLUMNS))
                 sys.stdout.flush()
             return 0
-        emit(told(rows, form), EVENTS, form)
+        print_rows(detection_rows(rows, form), DETECTION_COLUMNS, form)
         return 0
     if follow:
         raise click.UsageError("--follow needs --socket")
     assert store is not None
     with open_store(store) as reader:
-        found = (happening_row(happening) for happening in reader.happenings(engine, since, until))
-        emit(told(found, form), EVENTS, form)
+        found = (detection_row(happening) for happening in reader.detections(engine, since, until))
+        print_rows(detection_rows(found, form), DETECTION_COLUMNS, form)
     return 0
 
 
@@ -272,11 +284,11 @@
     if Path(out).suffix not in (".png", ".svg"):
         raise click.BadParameter("the file's name must end in .png or .svg", param_hint="--out")
     try:
-        from whintrail.timeline.plot import draw
+        from whintrail.timeline.plot import draw_incident
     except ModuleNotFoundError as error:
         raise click.ClickException(f"plot needs {error.name}: install requirements-plot.txt") from error
     with open_store(store) as reader:
-        drawn = draw(reader, list(engines), since, until, out)
+        drawn = draw_incident(reader, list(engines), since, until, out)
     if not drawn:
         raise click.ClickException("nothing to draw in that time")
     click.echo(f"{out}: {drawn} engines")
@@ -298,7 +310,7 @@
     for report in reader.verify():
         bad += bool(report.fault or report.damaged or report.index not in ("sound", "none"))
         rows.append({name: getattr(report, name) for name in report.__slots__})
-    emit(
+    print_rows(
         rows,
         ["name", "bytes", "frames", "events", "engines", "damaged", "lost_bytes", "torn", "index", "fault"],
         form,
--- a/whintrail/config/__init__.py
+++ b/whintrail/config/__init__.py
@@ -1,17 +1,25 @@
 """The operator's file: Jsonnet, checked into typed records. Absent, all that it could turn on is off."""
 
-from whintrail.config.reading import VARIABLE, OperatorFileError, read_operator_file
-from whintrail.config.records import Background, Fleet, Logging, OperatorFile, Store, Timeline, Watch
+from whintrail.config.reader import FILE_VARIABLE, OperatorFileError, read_operator_file
+from whintrail.config.records import (
+    Background,
+    DetectionThresholds,
+    Fleet,
+    Logging,
+    OperatorFile,
+    Store,
+    Timeline,
+)
 
 __all__ = [
-    "VARIABLE",
+    "FILE_VARIABLE",
     "Background",
+    "DetectionThresholds",
     "Fleet",
     "Logging",
     "OperatorFile",
     "OperatorFileError",
     "Store",
     "Timeline",
-    "Watch",
     "read_operator_file",
 ]
--- a/whintrail/config/reading.py
+++ b/whintrail/config/reader.py
@@ -9,8 +9,8 @@
 
 from whintrail.config.records import Fleet, OperatorFile
 
-VARIABLE = "WHINTRAIL_FILE"
-MOST_BYTES = 1 << 20
+FILE_VARIABLE = "WHINTRAIL_FILE"
+MAX_FILE_BYTES = 1 << 20
 
 
 class OperatorFileError(ValueError):
@@ -27,8 +27,8 @@
     `variables` are the template's external ones (`std.extVar`), as in Jsonnet's language reference.
     """
     try:
-        if os.stat(path).st_size > MOST_BYTES:
-            raise OperatorFileError(f"{path}: larger than {MOST_BYTES} bytes")
+        if os.stat(path).st_size > MAX_FILE_BYTES:
+            raise OperatorFileError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as error:
@@ -42,16 +42,16 @@
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at ")
         raise OperatorFileError(f"{path}: {place.strip('`') or '$'}: {_one_line(reason)}") from error
-    _agree(path, given)
+    _check_consistency(path, given)
     return given
 
 
-def _agree(path: str, given: OperatorFile) -> None:
+def _check_consistency(path: str, given: OperatorFile) -> None:
     """What no single value shows: values that contradict one another."""
     if given.rules is not None:
-        _read_rules(path, given.rules)
+        _check_rules(path, given.rules)
     if given.fleet is not None:
-        _agree_fleet(path, given.fleet)
+        _check_fleet(path, given.fleet)
     timeline = given.timeline
     if timeline is None or timeline.store is None:
         return
@@ -63,7 +63,7 @@
         )
 
 
-def _agree_fleet(path: str, fleet: Fleet) -> None:
+def _check_fleet(path: str, fleet: Fleet) -> None:
     if len(set(fleet.council)) != len(fleet.council) or len(fleet.council) not in (1, 3, 5, 7):
         raise OperatorFileError(f"{path}: $.fleet.council: 1, 3, 5 or 7 different gateways")
     if fleet.quarantine_s < 2 * fleet.use_within_s:
@@ -73,11 +73,11 @@
         )
 
 
-def _read_rules(path: str, rules: dict[str, Any]) -> None:
-    from whintrail.versions.body import BodyError, read_body  # only where there are any
+def _check_rules(path: str, rules: dict[str, Any]) -> None:
+    from whintrail.versions.rules import RulesError, parse_rules  # only where there are any
 
     try:
-        read_body(rules)
-    except BodyError as error:
+        parse_rules(rules)
+    except RulesError as error:
         place, _, reason = str(error).partition(": ")
         raise OperatorFileError(f"{path}: {place.replace('$', '$.rules', 1)}: {reason}") from error
--- a/whintrail/config/records.py
+++ b/whintrail/config/records.py
@@ -25,7 +25,7 @@
     waiting: Annotated[int, Meta(ge=1, le=100_000)] = 256  # jobs; more are shed, the least urgent first
 
 
-class Watch(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class DetectionThresholds(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """When the judge calls an engine's behaviour unusual. Higher thresholds: later and fewer alarms."""
 
     stalled_evidence: Annotated[float, Meta(ge=3.0, le=100.0)] = 14.0  # -ln of the chance that it is well
@@ -50,13 +50,13 @@
 class Timeline(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     memory_mb: Annotated[float, Meta(ge=0.25, le=1024.0)] = 8.0  # over all engines, come and gone
     raw_s: Seconds = 300.0  # raw events at most so old
-    watch: Watch = Watch()
+    watch: DetectionThresholds = DetectionThresholds()
     store: Store | None = None
     socket: Annotated[str, Meta(min_length=1, max_length=100)] | None = None  # of the live view
     followers: Annotated[int, Meta(ge=1, le=64)] = 8
 
 
-class Out(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class OutLimits(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How much may be out at a time: a count, or below 1 a share; in all and in a zone."""
 
     gateways: Annotated[float, Meta(gt=0.0, le=1000.0)] = 1.0
@@ -65,7 +65,7 @@
     engines_a_zone: Annotated[float, Meta(gt=0.0, le=1000.0)] = 1.0
 
 
-class Worse(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RegressionCriteria(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """When a new build counts as worse than the old one, and how sure the release wants to be."""
 
     times: Annotated[float, Meta(ge=1.1, le=100.0)] = 2.0
@@ -87,8 +87,8 @@
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     council: Annotated[tuple[Annotated[int, Meta(ge=0, le=0xFFFF)], ...], Meta(min_length=1, max_length=7)]
     build: Annotated[str, Meta(max_length=24)] = ""  # of this gateway's program; $WHINTRAIL_BUILD wins
-    out: Out = Out()
-    worse: Worse = Worse()
+    out: OutLimits = OutLimits()
+    worse: RegressionCriteria = RegressionCriteria()
     use_within_s: Annotated[float, Meta(ge=0.5, le=60.0)] = 1.5  # a slot
     proven_s: Annotated[float, Meta(ge=0.1, le=3600.0)] = 3.0  # a new process has to have served so long
     quarantine_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 4.0  # before a council that forgot begins anew
--- a/whintrail/control/__init__.py
+++ b/whintrail/control/__init__.py
@@ -1,5 +1,5 @@
 """The local way into a running gateway: Unix sockets that answer one JSON line with JSON lines."""
 
-from whintrail.control.lines import LineServer, ask_lines, encode
+from whintrail.control.json_lines import LineServer, encode_json, send_request
 
-__all__ = ["LineServer", "ask_lines", "encode"]
+__all__ = ["LineServer", "encode_json", "send_request"]
--- a/whintrail/control/lines.py
+++ b/whintrail/control/json_lines.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-MOST_REQUEST, MOST_CLIENTS = 4096, 32
-WRITE_S, READ_S = 5.0, 5.0
-encode = msgspec.json.encode
+MAX_REQUEST_BYTES, MAX_CLIENTS = 4096, 32
+WRITE_TIMEOUT_S, READ_TIMEOUT_S = 5.0, 5.0
+encode_json = msgspec.json.encode
 
 
-class Counts(Protocol):
+class CounterSink(Protocol):
     def add(self, group: str, name: str, count: int = 1) -> None: ...
 
 
@@ -26,12 +26,12 @@
     """Errors of the constructor: OSError where the socket can't be had."""
 
     request_type: type[Any] = dict
-    group = "control"  # of its counters
-    most_request = MOST_REQUEST  # bytes
+    counter_group = "control"  # of its counters
+    max_request_bytes = MAX_REQUEST_BYTES  # bytes
 
-    def __init__(self, path: str, counters: Counts) -> None:
+    def __init__(self, path: str, counters: CounterSink) -> None:
         self.counters = counters
-        self.clients: set[asyncio.Task[None]] = set()
+        self.client_tasks: set[asyncio.Task[None]] = set()
         with suppress(FileNotFoundError):
             os.unlink(path)  # of a gateway that was killed
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -52,32 +52,32 @@
         while True:
             sock, _ = await loop.sock_accept(self.listener)
             sock.setblocking(False)
-            if len(self.clients) >= MOST_CLIENTS:
-                self.counters.add(self.group, "views_refused")
+            if len(self.client_tasks) >= MAX_CLIENTS:
+                self.counters.add(self.counter_group, "views_refused")
                 sock.close()
                 continue
-            task = loop.create_task(self._client(sock))
-            self.clients.add(task)
-            task.add_done_callback(self.clients.discard)
+            task = loop.create_task(self._serve_client(sock))
+            self.client_tasks.add(task)
+            task.add_done_callback(self.client_tasks.discard)
 
-    async def _client(self, sock: socket.socket) -> None:
+    async def _serve_client(self, sock: socket.socket) -> None:
         try:
-            async with asyncio.timeout(READ_S):
-                request = await self._request(sock)
-            await self.answer(sock, request)
+            async with asyncio.timeout(READ_TIMEOUT_S):
+                request = await self._read_request(sock)
+            await self.handle_request(sock, request)
         except msgspec.MsgspecError as error:
             with suppress(OSError, TimeoutError):
-                await self.write(sock, encode({"error": str(error)}) + b"\n")
+                await self.write(sock, encode_json({"error": str(error)}) + b"\n")
         except (OSError, TimeoutError):
-            self.counters.add(self.group, "views_broken")
+            self.counters.add(self.counter_group, "views_broken")
         finally:
             sock.close()
 
-    async def _request(self, sock: socket.socket) -> Any:
+    async def _read_request(self, sock: socket.socket) -> Any:
         loop, data, chunk = asyncio.get_running_loop(), bytearray(), bytearray(1024)
         while b"\n" not in data:
-            if len(data) > self.most_request:
-                raise msgspec.ValidationError(f"a request of more than {self.most_request} bytes")
+            if len(data) > self.max_request_bytes:
+                raise msgspec.ValidationError(f"a request of more than {self.max_request_bytes} bytes")
             count = await loop.sock_recv_into(sock, chunk)
             if not count:
                 raise ConnectionError("no request")
@@ -87,14 +87,14 @@
     @staticmethod
     async def write(sock: socket.socket, data: bytes) -> None:
         """Cancelled half-way it leaves half a message: every caller closes then."""
-        async with asyncio.timeout(WRITE_S):
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             await asyncio.get_running_loop().sock_sendall(sock, data)
 
-    async def answer(self, sock: socket.socket, request: Any) -> None:
+    async def handle_request(self, sock: socket.socket, request: Any) -> None:
         raise NotImplementedError
 
     @staticmethod
-    async def gone(sock: socket.socket) -> None:
+    async def wait_closed(sock: socket.socket) -> None:
         """Returns once the client has hung up."""
         chunk = bytearray(64)
         with suppress(OSError):
@@ -103,26 +103,28 @@
 
     def close(self) -> None:
         self.listener.close()
-        for task in list(self.clients):
+        for task in list(self.client_tasks):
             task.cancel()
 
 
-class LinesError(Exception):
+class ControlError(Exception):
     """What the other side said, or why it could not be reached. One line."""
 
 
-def ask_lines(path: str, request: dict[str, Any], wait_s: float | None = 10.0) -> Iterator[dict[str, Any]]:
+def send_request(
+    path: str, request: dict[str, Any], timeout_s: float | None = 10.0
+) -> Iterator[dict[str, Any]]:
     """The rows that a running gateway answers. Errors: LinesError."""
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(wait_s)
+        sock.settimeout(timeout_s)
         try:
             sock.connect(path)
-            sock.sendall(encode(request) + b"\n")
+            sock.sendall(encode_json(request) + b"\n")
             with sock.makefile("rb") as file:
                 for line in file:
                     row = msgspec.json.decode(line)
                     if "error" in row:
-                        raise LinesError(row["error"])
+                        raise ControlError(row["error"])
                     yield row
         except OSError as error:
-            raise LinesError(f"{path}: {error}") from error
+            raise ControlError(f"{path}: {error}") from error
--- a/whintrail/fleet/budget.py
+++ b/whintrail/fleet/budget.py
@@ -8,46 +8,50 @@
 from dataclasses import dataclass
 
 
-def most(allowed: float, of: int) -> int:
+def absolute_limit(limit: float, total: int) -> int:
     """A count, or below 1 a share of so many; where anything is allowed at all, one at least."""
-    if allowed >= 1:
-        return int(allowed)
-    return max(1, int(allowed * of)) if allowed > 0 and of else 0
+    if limit >= 1:
+        return int(limit)
+    return max(1, int(limit * total)) if limit > 0 and total else 0
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class DisruptionBudget:
     """In all and in a zone, as counts or, below 1, as shares."""
 
-    whole: float
+    fleet: float
     zone: float
 
 
 @dataclass(frozen=True, slots=True)
-class Out:
+class Unavailable:
     """One that is out, and where; no zone: it may be in any."""
 
     name: str
     zone: str | None
-    why: str
+    reason: str
 
 
-def room(
-    allowed: Allowed, outs: Iterable[Out], zone: str | None, sizes: Mapping[str, int], total: int
+def exhausted_budget(
+    budget: DisruptionBudget,
+    unavailable: Iterable[Unavailable],
+    zone: str | None,
+    zone_sizes: Mapping[str, int],
+    total: int,
 ) -> str:
     """Empty where one more of `zone` may go out; else why not. `sizes`: how many there are by zone."""
-    found = sorted(outs, key=lambda out: out.name)
-    limit = most(allowed.whole, total)
+    found = sorted(unavailable, key=lambda out: out.name)
+    limit = absolute_limit(budget.fleet, total)
     if len(found) + 1 > limit:
-        return _full(found, limit, "")
-    if zone is None or not sizes:
+        return _describe_exhausted(found, limit, "")
+    if zone is None or not zone_sizes:
         return ""
     there = [out for out in found if out.zone is None or out.zone == zone]
-    limit = most(allowed.zone, sizes.get(zone, 1))
-    return _full(there, limit, f" in {zone}") if len(there) + 1 > limit else ""
+    limit = absolute_limit(budget.zone, zone_sizes.get(zone, 1))
+    return _describe_exhausted(there, limit, f" in {zone}") if len(there) + 1 > limit else ""
 
 
-def _full(outs: Collection[Out], limit: int, where: str) -> str:
-    names = ", ".join(f"{out.name} ({out.why})" for out in list(outs)[:4])
-    more = f" and {len(outs) - 4} more" if len(outs) > 4 else ""
-    return f"{len(outs)} of {limit} out{where}: {names}{more}"[:150]
+def _describe_exhausted(unavailable: Collection[Unavailable], limit: int, location: str) -> str:
+    names = ", ".join(f"{out.name} ({out.reason})" for out in list(unavailable)[:4])
+    more = f" and {len(unavailable) - 4} more" if len(unavailable) > 4 else ""
+    return f"{len(unavailable)} of {limit} out{location}: {names}{more}"[:150]
--- a/whintrail/fleet/checksum.py
+++ b/whintrail/fleet/checksum.py
@@ -13,7 +13,7 @@
 Checksum = Callable[[bytes], int]
 
 
-def _load() -> Checksum:
+def _load_extension() -> Checksum:
     package = find_spec("crc32c")
     if package is None:
         raise ModuleNotFoundError("No module named 'crc32c'", name="crc32c")
@@ -34,4 +34,4 @@
     return whole
 
 
-crc32c = _load()
+crc32c = _load_extension()
--- a/whintrail/fleet/memo.py
+++ b/whintrail/fleet/probe_reports.py
@@ -15,22 +15,22 @@
 
 from whintrail.interface import LoadReport
 
-MOST_BYTES = 256  # of one datagram
-FORMAT, SIGHTINGS = 1, 1
-HEAD = struct.Struct("!BBB")
+MAX_DATAGRAM_BYTES = 256  # of one datagram
+FORMAT, PROBE_REPORTS = 1, 1
+HEADER = struct.Struct("!BBB")
 ENTRY = struct.Struct("!HBBBBB")  # key, age, utilisation, held, memory queue, memory share
-MOST_SIGHTINGS = (MOST_BYTES - HEAD.size) // ENTRY.size
-AGE_UNIT_US, MOST_AGE_US = 32_000, 255 * 32_000
-ABSENT, TOP = 255, 254
+MAX_REPORTS = (MAX_DATAGRAM_BYTES - HEADER.size) // ENTRY.size
+AGE_UNIT_US, MAX_AGE_US = 32_000, 255 * 32_000
+ABSENT, MAX_QUANTITY = 255, 254
 SHARE_UNIT, HELD_UNIT = 1 / 100, 1 / 16  # of a share; of queries held a core
 
 
-class MemoError(ValueError):
+class ProbeReportError(ValueError):
     """The bytes are no memo of this format."""
 
 
 @dataclass(slots=True)
-class Sighting:
+class ProbeReport:
     """An engine's report, `age_us` old when told; what it holds goes by the core, so that a byte has room."""
 
     key: int
@@ -38,9 +38,9 @@
     load: LoadReport
     cores: float = 1.0  # of the engine as the teller knows it; 1 where it was decoded
 
-    def report(self, cores: float) -> LoadReport:
+    def load_report(self, cores: float) -> LoadReport:
         """The report of an engine of so many cores."""
-        held = self.load.held
+        held = self.load.active_queries
         return LoadReport(
             self.load.utilisation,
             None if held is None else held / self.cores * cores,
@@ -49,56 +49,59 @@
         )
 
 
-def key_of(engine: str) -> int:
+def engine_key(engine: str) -> int:
     """The 16 bits by which an engine goes in a memo."""
     return crc32(engine.encode()) & 0xFFFF
 
 
-def keys_of(engines: Iterable[str]) -> dict[int, str]:
+def engines_by_key(engines: Iterable[str]) -> dict[int, str]:
     """Engines by key; those whose key is not theirs alone are left out."""
     found: dict[int, str | None] = {}
     for engine in engines:
-        key = key_of(engine)
+        key = engine_key(engine)
         found[key] = None if key in found else engine
     return {key: engine for key, engine in found.items() if engine is not None}
 
 
-def _put(value: float | None, unit: float) -> int:
-    return ABSENT if value is None else min(TOP, max(0, round(value / unit)))
+def _quantize(value: float | None, unit: float) -> int:
+    return ABSENT if value is None else min(MAX_QUANTITY, max(0, round(value / unit)))
 
 
-def _got(value: int, unit: float) -> float | None:
+def _dequantize(value: int, unit: float) -> float | None:
     return None if value == ABSENT else value * unit
 
 
-def encode(sightings: Sequence[Sighting]) -> bytes:
+def encode(sightings: Sequence[ProbeReport]) -> bytes:
     """A memo of as many sightings as fit, the first ones."""
-    told = sightings[:MOST_SIGHTINGS]
-    parts = [HEAD.pack(FORMAT, SIGHTINGS, len(told))]
+    told = sightings[:MAX_REPORTS]
+    parts = [HEADER.pack(FORMAT, PROBE_REPORTS, len(told))]
     for s in told:
-        age, load = min(255, max(0, s.age_us) // AGE_UNIT_US), s.report(1.0)
-        used, held = _put(load.utilisation, SHARE_UNIT), _put(load.held, HELD_UNIT)
-        queue, share = _put(load.memory_queue, 1), _put(load.memory_share, SHARE_UNIT)
+        age, load = min(255, max(0, s.age_us) // AGE_UNIT_US), s.load_report(1.0)
+        used, held = _quantize(load.utilisation, SHARE_UNIT), _quantize(load.active_queries, HELD_UNIT)
+        queue, share = _quantize(load.memory_queue, 1), _quantize(load.memory_share, SHARE_UNIT)
         parts.append(ENTRY.pack(s.key, age, used, held, queue, share))
     return b"".join(parts)
 
 
-def decode(data: bytes) -> list[Sighting]:
+def decode(data: bytes) -> list[ProbeReport]:
     """The sightings of a memo; MemoError where it is none."""
-    if not HEAD.size <= len(data) <= MOST_BYTES:
-        raise MemoError(f"{len(data)} bytes")
-    written, kind, count = HEAD.unpack_from(data)
-    if (written, kind) != (FORMAT, SIGHTINGS):
-        raise MemoError(f"format {written}, kind {kind}")
-    if len(data) != HEAD.size + count * ENTRY.size:
-        raise MemoError(f"{count} sightings in {len(data)} bytes")
+    if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
+        raise ProbeReportError(f"{len(data)} bytes")
+    written, kind, count = HEADER.unpack_from(data)
+    if (written, kind) != (FORMAT, PROBE_REPORTS):
+        raise ProbeReportError(f"format {written}, kind {kind}")
+    if len(data) != HEADER.size + count * ENTRY.size:
+        raise ProbeReportError(f"{count} sightings in {len(data)} bytes")
     return [
-        Sighting(
+        ProbeReport(
             key,
             age * AGE_UNIT_US,
             LoadReport(
-                _got(used, SHARE_UNIT), _got(held, HELD_UNIT), _got(queue, 1), _got(share, SHARE_UNIT)
+                _dequantize(used, SHARE_UNIT),
+                _dequantize(held, HELD_UNIT),
+                _dequantize(queue, 1),
+                _dequantize(share, SHARE_UNIT),
             ),
         )
-        for key, age, used, held, queue, share in ENTRY.iter_unpack(data[HEAD.size :])
+        for key, age, used, held, queue, share in ENTRY.iter_unpack(data[HEADER.size :])
     ]
--- a/whintrail/fleet/release.py
+++ b/whintrail/fleet/release.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from whintrail.fleet.wire import Report
+from whintrail.fleet.wire import GatewayReport
 
-KINDS = ("failed", "refused", "late")
-MASK = 0xFFFFFFFF  # counters wrap
+BAD_OUTCOMES = ("failed", "refused", "late")
+COUNTER_MASK = 0xFFFFFFFF  # counters wrap
 
 
 class Verdict(Enum):
@@ -23,19 +23,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measure:
+class ComparisonRules:
     """What counts as worse, and how sure one wants to be."""
 
-    times: float = 2.0
-    least: float = 0.03  # more of the queries, at least
-    halted_wrongly: float = 0.01  # of a step with a build as good as the old one
-    passed_wrongly: float = 0.05
-    class_share: float = 0.05  # classes with less of the queries don't hold up a step
-    least_queries: int = 50
+    worse_factor: float = 2.0
+    worse_margin: float = 0.03  # more of the queries, at least
+    false_halt_rate: float = 0.01  # of a step with a build as good as the old one
+    false_pass_rate: float = 0.05
+    min_class_share: float = 0.05  # classes with less of the queries don't hold up a step
+    min_queries: int = 50
 
 
 @dataclass(slots=True)
-class Sums:
+class ClassTotals:
     """Taken and bad queries by class."""
 
     taken: dict[int, int] = field(default_factory=dict)
@@ -47,77 +47,81 @@
             self.bad[cls, kind] = self.bad.get((cls, kind), 0) + count
 
 
-def ratio(bad: int, taken: int, usual: float, measure: Measure) -> float:
+def log_likelihood_ratio(bad: int, taken: int, expected: float, rules: ComparisonRules) -> float:
     """The logarithm of the likelihood ratio, worse against as usual, of so many bad ones."""
-    worse = min(0.98, max(usual * measure.times, usual + measure.least))
-    usual = min(usual, worse / (1 + 1e-9))
+    worse = min(0.98, max(expected * rules.worse_factor, expected + rules.worse_margin))
+    expected = min(expected, worse / (1 + 1e-9))
     bad = min(bad, taken)
-    return bad * math.log(worse / usual) + (taken - bad) * math.log((1 - worse) / (1 - usual))
+    return bad * math.log(worse / expected) + (taken - bad) * math.log((1 - worse) / (1 - expected))
 
 
-class Comparison:
+class BuildComparison:
     """Of one step of one release. Feed it every report; it knows members by number and birth."""
 
-    def __init__(self, build: str, measure: Measure | None = None) -> None:
-        self.build, self.measure = build, measure or Measure()
-        self.new, self.old = Sums(), Sums()
-        self.before: dict[int, tuple[int, tuple[tuple[int, ...], ...]]] = {}
-        self.agreed: tuple[tuple[int, ...], ...] = ()  # the old build's shares, as an earlier leader saw them
+    def __init__(self, build: str, rules: ComparisonRules | None = None) -> None:
+        self.build, self.rules = build, rules or ComparisonRules()
+        self.new, self.old = ClassTotals(), ClassTotals()
+        self.last_counts: dict[int, tuple[int, tuple[tuple[int, ...], ...]]] = {}
+        self.stored_baseline: tuple[
+            tuple[int, ...], ...
+        ] = ()  # the old build's shares, as an earlier leader saw them
 
     def next_step(self) -> None:
         """What the new build showed so far was judged; the old one's figures stay."""
-        self.new = Sums()
+        self.new = ClassTotals()
 
-    def report(self, number: int, birth: int, report: Report) -> None:
-        before = self.before.get(number)
-        self.before[number] = (birth, report.counts)
-        if before is None or before[0] != birth or len(before[1]) != len(report.counts):
+    def add_report(self, number: int, boot_id: int, report: GatewayReport) -> None:
+        before = self.last_counts.get(number)
+        self.last_counts[number] = (boot_id, report.counts)
+        if before is None or before[0] != boot_id or len(before[1]) != len(report.counts):
             return  # a first sight: what it counted until then was under other conditions
         sums = self.new if report.build == self.build else self.old
         for cls, (now, then) in enumerate(zip(report.counts, before[1], strict=True)):
-            taken, *bad = ((a - b) & MASK for a, b in zip(now, then, strict=True))
+            taken, *bad = ((a - b) & COUNTER_MASK for a, b in zip(now, then, strict=True))
             if taken < 1 << 24:  # more in a second is no count
                 sums.add(cls, taken, (bad[0], bad[1], bad[2]))
 
-    def shares(self) -> tuple[tuple[int, int, int], ...]:
+    def baseline_shares(self) -> tuple[tuple[int, int, int], ...]:
         """The old build's, in thousandths, by class: what a later leader may go by."""
-        if any(self.old.taken.get(cls, 0) < self.measure.least_queries for cls in self.new.taken):
+        if any(self.old.taken.get(cls, 0) < self.rules.min_queries for cls in self.new.taken):
             return ()
         found = []
         for cls in range(min(4, max(self.new.taken, default=-1) + 1)):
-            parts = [round(min(1.0, self.usual(cls, kind)) * 1000) for kind in range(len(KINDS))]
+            parts = [
+                round(min(1.0, self.expected_share(cls, kind)) * 1000) for kind in range(len(BAD_OUTCOMES))
+            ]
             found.append((parts[0], parts[1], parts[2]))
         return tuple(found)
 
-    def known(self, cls: int) -> bool:
+    def has_baseline(self, cls: int) -> bool:
         """Whether there is anything of the old build to go by."""
-        return self.old.taken.get(cls, 0) >= self.measure.least_queries or cls < len(self.agreed)
+        return self.old.taken.get(cls, 0) >= self.rules.min_queries or cls < len(self.stored_baseline)
 
-    def usual(self, cls: int, kind: int) -> float:
+    def expected_share(self, cls: int, kind: int) -> float:
         """The old build's share, a standard error over it."""
         taken = self.old.taken.get(cls, 0)
-        if taken < self.measure.least_queries and cls < len(self.agreed):
-            return min(0.9, max(0.0005, self.agreed[cls][kind] / 1000))
+        if taken < self.rules.min_queries and cls < len(self.stored_baseline):
+            return min(0.9, max(0.0005, self.stored_baseline[cls][kind] / 1000))
         share = (self.old.bad.get((cls, kind), 0) + 0.5) / (taken + 1)
         return min(0.9, share + math.sqrt(share * (1 - share) / (taken + 1)))
 
-    def judge(self) -> tuple[Verdict, str]:
-        measure, total = self.measure, sum(self.new.taken.values())
-        tests = max(1, len(KINDS) * len(self.new.taken))
-        halts = math.log((1 - measure.passed_wrongly) / (measure.halted_wrongly / tests))
-        passes = math.log(measure.passed_wrongly)
-        wait = "" if total >= measure.least_queries else f"{total} queries so far"
+    def evaluate(self) -> tuple[Verdict, str]:
+        measure, total = self.rules, sum(self.new.taken.values())
+        tests = max(1, len(BAD_OUTCOMES) * len(self.new.taken))
+        halts = math.log((1 - measure.false_pass_rate) / (measure.false_halt_rate / tests))
+        passes = math.log(measure.false_pass_rate)
+        wait = "" if total >= measure.min_queries else f"{total} queries so far"
         for cls, taken in sorted(self.new.taken.items()):
-            if not self.known(cls):
-                if taken > measure.class_share * total:
+            if not self.has_baseline(cls):
+                if taken > measure.min_class_share * total:
                     wait = wait or f"class {cls}: little of the old build to compare with"
                 continue
-            for kind, name in enumerate(KINDS):
-                bad, usual = self.new.bad.get((cls, kind), 0), self.usual(cls, kind)
-                evidence = ratio(bad, taken, usual, measure)
+            for kind, name in enumerate(BAD_OUTCOMES):
+                bad, usual = self.new.bad.get((cls, kind), 0), self.expected_share(cls, kind)
+                evidence = log_likelihood_ratio(bad, taken, usual, measure)
                 if evidence >= halts:
                     share = f"{bad}/{taken} {name}, old {usual:.3f}"
                     return Verdict.HALT, f"class {cls}: {share}"
-                if evidence > passes and taken > measure.class_share * total:
+                if evidence > passes and taken > measure.min_class_share * total:
                     wait = wait or f"class {cls}: not sure of {name} yet ({bad}/{taken})"
         return (Verdict.WAIT, wait) if wait else (Verdict.GO, f"{total} queries compared")
--- a/whintrail/gateway/buffer.py
+++ b/whintrail/gateway/buffer.py
@@ -9,9 +9,9 @@
 
     __slots__ = ("_data", "_end", "_first", "_most", "_start")
 
-    def __init__(self, first: int, most: int) -> None:
-        self._data = bytearray(first)
-        self._first, self._most = first, most
+    def __init__(self, initial_bytes: int, max_bytes: int) -> None:
+        self._data = bytearray(initial_bytes)
+        self._first, self._most = initial_bytes, max_bytes
         self._start = self._end = 0
 
     def __len__(self) -> int:
@@ -21,7 +21,7 @@
     def full(self) -> bool:
         return len(self) >= self._most
 
-    def space(self) -> memoryview:
+    def receive_space(self) -> memoryview:
         """Room to receive into, never empty unless the buffer is full."""
         held, size = len(self), len(self._data)
         if self._start and (held == 0 or size - self._end < size // 2):
@@ -34,7 +34,7 @@
             self._data = self._data + bytes(min(size, self._most - size))
         return memoryview(self._data)[self._end :]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
         self._end += count
 
     def peek(self, count: int, offset: int = 0) -> bytes:
@@ -42,9 +42,9 @@
         at = self._start + offset
         return bytes(self._data[at : min(at + count, self._end)])
 
-    def find(self, what: bytes, most: int) -> int:
+    def find(self, pattern: bytes, max_bytes: int) -> int:
         """Where the bytes begin within the first `most`; -1 if they don't."""
-        at = self._data.find(what, self._start, min(self._end, self._start + most))
+        at = self._data.find(pattern, self._start, min(self._end, self._start + max_bytes))
         return at - self._start if at >= 0 else -1
 
     def take(self, count: int) -> bytes:
@@ -52,10 +52,10 @@
         self._start += len(data)
         return data
 
-    def drop_all(self) -> None:
+    def clear(self) -> None:
         self._start = self._end = 0
 
     def release(self) -> None:
         """Nothing more is received."""
-        self.drop_all()
+        self.clear()
         self._data = bytearray()
--- a/whintrail/gateway/enginelines.py
+++ b/whintrail/gateway/engine_protocol.py
@@ -8,8 +8,8 @@
 
 from whintrail.gateway.buffer import Buffer
 
-END = b"\r\n"
-ANSWERS = ("served", "overload", "crashed", "nobody", "update", "rows", "green", "red")
+LINE_END = b"\r\n"
+ANSWER_WORDS = ("served", "overload", "crashed", "nobody", "update", "rows", "green", "red")
 
 
 class FramingError(ValueError):
@@ -45,7 +45,7 @@
         return values
 
 
-def _fields(values: Mapping[str, str]) -> str:
+def _encode_fields(values: Mapping[str, str]) -> str:
     return ",".join(f"{name}={value}" for name, value in values.items()) or "-"
 
 
@@ -61,54 +61,54 @@
         raise ValueError(f"class {name!r}: its name can't be sent on, as a field of a request")
 
 
-def do(id: bytes, fields: Mapping[str, str], statement: bytes) -> bytes:
-    return b"do %b %b %d\r\n%b\r\n" % (id, _fields(fields).encode(), len(statement), statement)
+def encode_do(id: bytes, fields: Mapping[str, str], statement: bytes) -> bytes:
+    return b"do %b %b %d\r\n%b\r\n" % (id, _encode_fields(fields).encode(), len(statement), statement)
 
 
-def undo(id: bytes) -> bytes:
+def encode_undo(id: bytes) -> bytes:
     return b"undo %b\r\n" % id
 
 
-def bump(id: bytes, priority: int) -> bytes:
+def encode_bump(id: bytes, priority: int) -> bytes:
     return b"bump %b %d\r\n" % (id, priority)
 
 
-def page(id: bytes, number: int) -> bytes:
+def encode_page(id: bytes, number: int) -> bytes:
     return b"page %b %d\r\n" % (id, number)
 
 
-def forget(id: bytes) -> bytes:
+def encode_forget(id: bytes) -> bytes:
     return b"forget %b\r\n" % id
 
 
-def probe(tag: bytes, with_report: bool) -> bytes:
+def encode_probe(tag: bytes, with_report: bool) -> bytes:
     return b"%b %b\r\n" % (b"top" if with_report else b"ping", tag)
 
 
-def read_answer(buffer: Buffer, line_most: int, body_most: int) -> Answer | None:
+def read_answer(buffer: Buffer, max_line_bytes: int, max_body_bytes: int) -> Answer | None:
     """The next answer; None while it is not whole."""
-    end = buffer.find(END, line_most)
+    end = buffer.find(LINE_END, max_line_bytes)
     if end < 0:
-        if len(buffer) >= line_most:
+        if len(buffer) >= max_line_bytes:
             raise FramingError("a line without end")
         return None
     words = buffer.peek(end).split(b" ")
     if len(words) != 4 or not words[3].isdigit() or len(words[3]) > 9:
         raise FramingError(f"not an answer: {buffer.peek(min(end, 60))!r}")
     length = int(words[3])
-    if length > body_most:
+    if length > max_body_bytes:
         raise FramingError(f"an answer of {length} bytes")
-    start = end + len(END)
-    if len(buffer) < start + length + len(END):
+    start = end + len(LINE_END)
+    if len(buffer) < start + length + len(LINE_END):
         return None
     try:
         word, text = words[1].decode("ascii"), words[2].decode("utf-8")
     except UnicodeDecodeError as error:
         raise FramingError(f"not text: {error}") from error
-    if word not in ANSWERS:
+    if word not in ANSWER_WORDS:
         raise FramingError(f"an unknown answer: {word!r}")
-    data = buffer.take(start + length + len(END))
-    if data[-len(END) :] != END:
+    data = buffer.take(start + length + len(LINE_END))
+    if data[-len(LINE_END) :] != LINE_END:
         raise FramingError("a body longer or shorter than its length")
     pairs = (item.partition("=") for item in text.split(",")) if text != "-" else ()
     fields = {name: value for name, _, value in pairs}
--- a/whintrail/gateway/peers.py
+++ b/whintrail/gateway/peers.py
@@ -10,18 +10,20 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from whintrail.fleet.memo import MOST_BYTES
-from whintrail.gateway.connection import address
+from whintrail.fleet.probe_reports import MAX_DATAGRAM_BYTES
+from whintrail.gateway.connection import parse_address
 from whintrail.gateway.counters import Counters
+from whintrail.gateway.dispatcher import Inbox, PeerDatagram
 from whintrail.gateway.limits import Limits
 from whintrail.gateway.log import Log
-from whintrail.gateway.owner import Inbox, Told
-from whintrail.settings import get
+from whintrail.settings import get_or_default
 
-FLEET_MARK = 0xF5  # first byte of a datagram of the fleet's (`fleet/wire.py`); a memo begins otherwise
+FLEET_DATAGRAM_MARK = (
+    0xF5  # first byte of a datagram of the fleet's (`fleet/wire.py`); a memo begins otherwise
+)
 
 
-class Peers:
+class PeerTransport:
     """Everything that reaches the owner came from an address on the list, and is no longer than allowed."""
 
     def __init__(
@@ -29,38 +31,40 @@
     ) -> None:
         """ValueError where the addresses can't be used."""
         self.limits, self.inbox, self.counters, self.log = limits, inbox, counters, log
-        self.listen_at = address(config["peer_listen"])
-        self.addresses = [address(text) for text in get(config, "peers", [])]
-        self.numbers = {where: number for number, where in enumerate(self.addresses)}
+        self.listen_address = parse_address(config["peer_listen"])
+        self.addresses = [parse_address(text) for text in get_or_default(config, "peers", [])]
+        self.gateway_numbers = {where: number for number, where in enumerate(self.addresses)}
         everyone = config.get("peers_all")
-        self.everyone = address(everyone) if everyone else None
-        self.buffer = bytearray(MOST_BYTES + 1)  # one more shows what is too long
+        self.broadcast_address = parse_address(everyone) if everyone else None
+        self.buffer = bytearray(MAX_DATAGRAM_BYTES + 1)  # one more shows what is too long
         self.sock: socket.socket | None = None
-        self.fleet: Callable[[int, bytes], None] | None = None  # who takes what is marked as the fleet's
+        self.on_fleet_datagram: Callable[[int, bytes], None] | None = (
+            None  # who takes what is marked as the fleet's
+        )
 
     def open(self) -> None:
         """Without the socket the gateway serves all the same: it then knows what it finds out itself."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
-            sock.bind(self.listen_at)
+            sock.bind(self.listen_address)
         except OSError as error:
             sock.close()
             self.log.line("peers", f"no talk among gateways: {error}")
             return
         self.sock = sock
-        asyncio.get_running_loop().add_reader(sock.fileno(), self._readable)
+        asyncio.get_running_loop().add_reader(sock.fileno(), self._on_readable)
 
-    def tell(self, target: int | None, payload: bytes) -> None:
+    def send(self, target: int | None, payload: bytes) -> None:
         """To one gateway, or to all where one address stands for all."""
-        where = self.everyone
+        where = self.broadcast_address
         if target is not None:
             where = self.addresses[target] if 0 <= target < len(self.addresses) else None
-        if target is None and where is None and self.fleet is not None:
+        if target is None and where is None and self.on_fleet_datagram is not None:
             for number in range(len(self.addresses)):  # no address stands for all
-                self.tell(number, payload)
+                self.send(number, payload)
             return
-        if self.sock is None or where is None or len(payload) > MOST_BYTES:
+        if self.sock is None or where is None or len(payload) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers", "not_sent")
             return
         try:
@@ -69,23 +73,23 @@
         except OSError:  # a full buffer too
             self.counters.add("peers", "not_sent")
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         """So many a turn: a flood must not hold up clients and engines."""
         assert self.sock is not None
-        for _ in range(self.limits.datagrams_a_turn):
+        for _ in range(self.limits.datagrams_per_turn):
             try:
                 count, where = self.sock.recvfrom_into(self.buffer)
             except OSError:  # nothing more, or the answer of a host that lives to one that does not
                 return
-            origin = self.numbers.get(where)
-            if origin is None or count > MOST_BYTES:
+            origin = self.gateway_numbers.get(where)
+            if origin is None or count > MAX_DATAGRAM_BYTES:
                 self.counters.add("peers", "strange")
                 continue
             self.counters.add("peers", "heard")
-            if self.fleet is not None and count and self.buffer[0] == FLEET_MARK:
-                self.fleet(origin, bytes(memoryview(self.buffer)[:count]))
+            if self.on_fleet_datagram is not None and count and self.buffer[0] == FLEET_DATAGRAM_MARK:
+                self.on_fleet_datagram(origin, bytes(memoryview(self.buffer)[:count]))
                 continue
-            self.inbox.put(Told(origin, bytes(memoryview(self.buffer)[:count])))
+            self.inbox.put(PeerDatagram(origin, bytes(memoryview(self.buffer)[:count])))
 
     def close(self) -> None:
         if self.sock is not None:
--- a/whintrail/gateway/statement.py
+++ b/whintrail/gateway/statement.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-_comment = re.compile(rb"\s*/\*(.*?)\*/\s*", re.DOTALL)
-_call = re.compile(rb"[0-9a-f]{16}\Z")
+_leading_comment = re.compile(rb"\s*/\*(.*?)\*/\s*", re.DOTALL)
+_call_id_pattern = re.compile(rb"[0-9a-f]{16}\Z")
 
 
 class StatementError(ValueError):
@@ -15,15 +15,15 @@
 @dataclass(slots=True)
 class Statement:
     class_name: str
-    call: bytes
+    call_id: bytes
     ttl_ms: float | None
     work_ms: float | None
     memory_mb: float | None
     text: bytes
-    tables: int | None
+    table_group: int | None
 
 
-def _amount(fields: dict[str, str], name: str) -> float | None:
+def _number_field(fields: dict[str, str], name: str) -> float | None:
     """The field's number; None where it is absent, while zero is zero."""
     text = fields.get(name)
     if text is None:
@@ -35,7 +35,7 @@
 
 def read_statement(query: bytes) -> Statement:
     """Fields in any order, unknown ones skipped; the statement itself goes on unchanged."""
-    found = _comment.match(query)
+    found = _leading_comment.match(query)
     if found is None:
         raise StatementError("no comment with fields ahead of the statement")
     try:
@@ -50,7 +50,7 @@
     class_name, call = fields.get("op", ""), fields.get("call", "").encode()
     if not class_name:
         raise StatementError("field op is missing")
-    if not _call.match(call):
+    if not _call_id_pattern.match(call):
         raise StatementError("field call is missing or not 16 hex digits")
     text = query[found.end() :]
     if not text.strip():
@@ -58,19 +58,19 @@
     return Statement(
         class_name,
         call,
-        _amount(fields, "ttl"),
-        _amount(fields, "work"),
-        _amount(fields, "memory"),
+        _number_field(fields, "ttl"),
+        _number_field(fields, "work"),
+        _number_field(fields, "memory"),
         text,
-        _table_group(_literal.sub(b"''", text))
-        if len(text) <= _CACHED_LENGTH
-        else table_group(text[:_READ_LENGTH]),
+        _cached_table_group(_plain_literal.sub(b"''", text))
+        if len(text) <= _MAX_CACHED_BYTES
+        else table_group(text[:_MAX_PARSED_BYTES]),
     )
 
 
 # --- The group of tables: a small lexer. Its tokens are names and the signs that matter between them.
 
-_token = re.compile(
+_sql_token = re.compile(
     r"""
     --[^\n]*
   | [eE]'(?:[^'\\]|\\.|'')*(?:'|\Z)
@@ -83,22 +83,37 @@
     """,
     re.VERBOSE | re.DOTALL,
 )
-_block = re.compile(r"--[^\n]*|'(?:[^']|'')*'|\"(?:[^\"]|\"\")*\"|/\*|\*/", re.DOTALL)
-_edge = re.compile(r"/\*|\*/")  # what counts inside a comment
-_group = re.compile(r"[^\W\d]\w*?_([0-9]{1,9})\Z")
-_ENDS = ["where", "group", "order", "having", "limit", "offset", "fetch", "window", "union", "intersect"]
-_LIST_ENDS = frozenset([*_ENDS, "except", "for", "returning", "on", "set", "values", "select", "with"])
-_TABLE_AHEAD = frozenset(["from", "join", "into", "update", "table", "using"])
-_FROM_INSIDE = frozenset(["extract", "substring", "trim", "overlay", "position"])  # their FROM names no table
-_TABLE_WORDS = frozenset(["only", "lateral", "if", "exists"])  # may stand between
+_comment_or_quoted = re.compile(r"--[^\n]*|'(?:[^']|'')*'|\"(?:[^\"]|\"\")*\"|/\*|\*/", re.DOTALL)
+_comment_edge = re.compile(r"/\*|\*/")  # what counts inside a comment
+_schema_group = re.compile(r"[^\W\d]\w*?_([0-9]{1,9})\Z")
+_CLAUSE_WORDS = [
+    "where",
+    "group",
+    "order",
+    "having",
+    "limit",
+    "offset",
+    "fetch",
+    "window",
+    "union",
+    "intersect",
+]
+_TABLE_LIST_END_WORDS = frozenset(
+    [*_CLAUSE_WORDS, "except", "for", "returning", "on", "set", "values", "select", "with"]
+)
+_TABLE_INTRODUCERS = frozenset(["from", "join", "into", "update", "table", "using"])
+_FUNCTIONS_WITH_FROM = frozenset(
+    ["extract", "substring", "trim", "overlay", "position"]
+)  # their FROM names no table
+_TABLE_MODIFIERS = frozenset(["only", "lateral", "if", "exists"])  # may stand between
 
 
-def _without_blocks(text: str) -> str:
+def _strip_block_comments(text: str) -> str:
     """The text with a space for each comment in slashes and stars; they nest."""
     kept: list[str] = []
     depth = start = at = 0
     # Inside a comment quotes mean nothing: to look for their ends there took a hostile text's square in time.
-    while mark := (_edge if depth else _block).search(text, at):
+    while mark := (_comment_edge if depth else _comment_or_quoted).search(text, at):
         at = mark.end()
         if mark.group() == "/*":
             if depth == 0:
@@ -116,9 +131,9 @@
     """The number in the name of the schema that is read or written; None where there is none."""
     text = statement.decode("utf-8", "replace")
     if "/*" in text:
-        text = _without_blocks(text)
+        text = _strip_block_comments(text)
     # Each token: a word in lower case, a quoted name, a sign, or nothing for texts and numbers.
-    tokens = [(m["word"] or "").lower() or m["sign"] or m["quoted"] or "" for m in _token.finditer(text)]
+    tokens = [(m["word"] or "").lower() or m["sign"] or m["quoted"] or "" for m in _sql_token.finditer(text)]
     tokens += ["", ""]
     brackets: list[tuple[bool, bool]] = []  # per open bracket: a list of tables goes on; FROM means nothing
     in_list = expect = deaf = False
@@ -126,32 +141,32 @@
     for index, token in enumerate(tokens):
         if token == "(":
             brackets.append((in_list, deaf))
-            deaf = previous in _FROM_INSIDE
+            deaf = previous in _FUNCTIONS_WITH_FROM
         elif token == ")":
             in_list, deaf = brackets.pop() if brackets else (False, False)
             expect = False
         elif token == ",":
             expect = in_list
-        elif token in _TABLE_AHEAD and not deaf and previous not in (".", "distinct"):
+        elif token in _TABLE_INTRODUCERS and not deaf and previous not in (".", "distinct"):
             in_list = expect = True
-        elif token in _LIST_ENDS:
+        elif token in _TABLE_LIST_END_WORDS:
             in_list = expect = False
-        elif expect and token and token not in _TABLE_WORDS:
+        elif expect and token and token not in _TABLE_MODIFIERS:
             expect = False
-            schema = _group.match(token) if tokens[index + 1] == "." else None
+            schema = _schema_group.match(token) if tokens[index + 1] == "." else None
             if schema:
                 return int(schema.group(1))
         previous = token
     return None
 
 
-_literal = re.compile(rb"'[0-9A-Za-z]*'")  # too plain to hide a name; the rest of a statement recurs
+_plain_literal = re.compile(rb"'[0-9A-Za-z]*'")  # too plain to hide a name; the rest of a statement recurs
 
 
-_CACHED_LENGTH = 1000
-_READ_LENGTH = 16_384  # the group stands near the start; all others wait while it is read
+_MAX_CACHED_BYTES = 1000
+_MAX_PARSED_BYTES = 16_384  # the group stands near the start; all others wait while it is read
 
 
 @lru_cache(maxsize=1024)
-def _table_group(statement: bytes) -> int | None:
+def _cached_table_group(statement: bytes) -> int | None:
     return table_group(statement)
--- a/whintrail/gateway/subset.py
+++ b/whintrail/gateway/subset.py
@@ -8,26 +8,26 @@
 from typing import TYPE_CHECKING
 
 from whintrail import interface as api
-from whintrail.gateway.owner import Listed, Peers
-from whintrail.subset.part import Part
+from whintrail.gateway.dispatcher import EngineListUpdate, PeerSender
+from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import PlanError, Region, SubsetPlan
-from whintrail.subset.telling import BATCH_US, TURNS, Telling
+from whintrail.subset.report_sender import BATCH_INTERVAL_US, SLOTS_PER_BATCH, ProbeReportSender
 
 if TYPE_CHECKING:
     from whintrail.config.records import Subset
 
-SETTLE_US = 1_000_000  # at least, between two looks at engines that left the part
+MIN_SETTLE_INTERVAL_US = 1_000_000  # at least, between two looks at engines that left the part
 
-__all__ = ["PlanError", "SubsetSide", "plan_of"]
+__all__ = ["PlanError", "SubsetService", "read_plan"]
 
 
-def plan_of(asked: "Subset") -> SubsetPlan:
+def read_plan(config: "Subset") -> SubsetPlan:
     """PlanError where the file's part contradicts itself."""
-    regions = tuple(Region(r.zones, r.first, r.last) for r in asked.regions)
-    return SubsetPlan(asked.size, asked.least_holders, asked.least_stratum, regions or None)
+    regions = tuple(Region(r.zones, r.first, r.last) for r in config.regions)
+    return SubsetPlan(config.size, config.least_holders, config.least_stratum, regions or None)
 
 
-class SubsetSide:
+class SubsetService:
     """For the owner, on its task. `free`: whether nothing of ours runs on an engine. PlanError where the plan
     does not fit the fleet."""
 
@@ -35,52 +35,56 @@
         self,
         plan: SubsetPlan,
         settings: api.Settings,
-        peers: Peers | None,
-        free: Callable[[str], bool],
-        batch_us: int = BATCH_US,
+        peers: PeerSender | None,
+        is_idle: Callable[[str], bool],
+        batch_us: int = BATCH_INTERVAL_US,
     ) -> None:
-        self.part = Part(plan, settings)
-        self.telling = Telling(self.part, settings.me, batch_us)
-        self.turn_us = batch_us // TURNS  # how often `turn` wants to be called
-        self.peers, self.free = peers, free
+        self.local_subset = SubsetAssignment(plan, settings)
+        self.report_batches = ProbeReportSender(self.local_subset, settings.local_number, batch_us)
+        self.tick_interval_us = batch_us // SLOTS_PER_BATCH  # how often `turn` wants to be called
+        self.peers, self.is_idle = peers, is_idle
         self.addresses: dict[str, str] = {}  # of all engines: one may come into our part by another's going
-        self.settle_us = max(SETTLE_US, settings.tip_after_us)
-        self.settled_at = 0
+        self.settle_interval_us = max(MIN_SETTLE_INTERVAL_US, settings.overload_window_us)
+        self.last_settled_us = 0
 
-    def listed(self, event: api.EngineList, addresses: Mapping[str, str]) -> Listed | None:
+    def apply_event(
+        self, event: api.EngineListReceived, addresses: Mapping[str, str]
+    ) -> EngineListUpdate | None:
         """An event of the list as the gateway is to see it; None where it bears on nothing that is kept."""
         if event.kind not in (api.ListKind.DELTA, api.ListKind.FAILED):
             self.addresses.clear()
         self.addresses.update(addresses)
-        kept = self.part.listed(event)
+        kept = self.local_subset.apply_list(event)
         for entry in event.entries:
-            if entry.state is api.EngineState.GONE:
+            if entry.state is api.EngineState.REMOVED:
                 self.addresses.pop(entry.engine, None)
         return None if kept is None else self._with_addresses(kept)
 
-    def _with_addresses(self, event: api.EngineList) -> Listed:
+    def _with_addresses(self, event: api.EngineListReceived) -> EngineListUpdate:
         names = (entry.engine for entry in event.entries)
-        return Listed(event, {name: self.addresses[name] for name in names if name in self.addresses})
+        return EngineListUpdate(
+            event, {name: self.addresses[name] for name in names if name in self.addresses}
+        )
 
-    def engines(self) -> dict[str, api.EngineEntry]:
+    def listed_engines(self) -> dict[str, api.EngineEntry]:
         """All that the list holds, kept or not."""
-        return {name: known.entry for name, known in self.part.known.items()}
+        return {name: known.entry for name, known in self.local_subset.listed_engines.items()}
 
-    def tell(self, now: int, payload: bytes) -> bool:
+    def broadcast_report(self, now: int, payload: bytes) -> bool:
         """A memo for all who keep its engines; False where that is the whole fleet: one address may do."""
-        if self.part.whole:
+        if self.local_subset.keeps_all:
             return False
-        self.telling.add(now, payload)
+        self.report_batches.enqueue(now, payload)
         return True
 
-    def turn(self, now: int) -> Listed | None:
+    def tick(self, now: int) -> EngineListUpdate | None:
         """Memos that are due go out; an engine that left the part, and on which nothing of ours runs, leaves
         the list."""
-        for target, payload in self.telling.due(now):
+        for target, payload in self.report_batches.due_datagrams(now):
             if self.peers is not None:
-                self.peers.tell(target, payload)
-        if now < self.settled_at + self.settle_us or not self.part.leaving:
+                self.peers.send(target, payload)
+        if now < self.last_settled_us + self.settle_interval_us or not self.local_subset.draining:
             return None
-        self.settled_at = now
-        event = self.part.settle(self.free)
+        self.last_settled_us = now
+        event = self.local_subset.remove_drained(self.is_idle)
         return None if event is None else self._with_addresses(event)
--- a/whintrail/interface.py
+++ b/whintrail/interface.py
@@ -19,12 +19,12 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
     UNKNOWN = "unknown"  # a code that this version does not know: the attempt may have run
 
 
 class EngineState(Enum):
-    GONE = "gone"
+    REMOVED = "gone"
     READY = "ready"
     DRAINING = "draining"
 
@@ -46,7 +46,7 @@
     ONCE = "once"
 
 
-class DedupGroup(Enum):
+class DedupScope(Enum):
     """Engines that drop each other's repeats of a keyed query."""
 
     ALL = "all"
@@ -54,7 +54,7 @@
     CELL = "cell"
 
 
-class Topic(Enum):
+class StatusTopic(Enum):
     """What a note on a running attempt is about."""
 
     PROGRESS = "progress"  # value: share done
@@ -62,7 +62,7 @@
     WAIT = "wait"  # value: 1 for memory, 2 for a load
 
 
-class ReportsBy(Enum):
+class ReportSource(Enum):
     """Where load reports come from."""
 
     ANSWERS = "answers"
@@ -73,20 +73,20 @@
 class Reason(Enum):
     """Why an engine was, or was not, given something: told for a record, beside the actions."""
 
-    RESTS = "passed over: it rests"
-    FULL = "passed over: it was full"
-    SHUT_OUT = "shut out: it fails too many"
-    COLD = "held back as cold"
-    NO_ROOM = "passed over: no room, or too late there"
-    NOT_PLACED = "passed over: the class may not go there"
-    RESTED = "rested: it failed us"
-    RESTED_FULL = "rested: it refused as full"
-    MOVED = "moved away from"
+    BACKING_OFF = "passed over: it rests"
+    RECENTLY_FULL = "passed over: it was full"
+    HIGH_ERROR_RATE = "shut out: it fails too many"
+    COLD_BUDGET_SPENT = "held back as cold"
+    NO_CAPACITY = "passed over: no room, or too late there"
+    PLACEMENT_FORBIDDEN = "passed over: the class may not go there"
+    BACKOFF_STARTED = "rested: it failed us"
+    FULL_BACKOFF_STARTED = "rested: it refused as full"
+    ATTEMPT_MOVED = "moved away from"
     DRAINED = "drained: nothing new"
 
 
 @dataclass(slots=True)
-class Remark:
+class EngineDecision:
     """A decision about an engine that no action shows."""
 
     engine: str
@@ -97,20 +97,20 @@
 @dataclass(frozen=True, slots=True)
 class QueryClass:
     name: str
-    aim_us: int
-    aim_stretch: float
+    target_latency_us: int
+    target_latency_ratio: float
     deadline_us: int
     effect: Effect
-    group: DedupGroup
-    window_us: int
+    dedup_scope: DedupScope
+    dedup_window_us: int
     worth: float
     late_share: float
-    in_order: bool
+    ordered_by_key: bool
     zones: tuple[str, ...] | None  # None: any
     kinds: tuple[str, ...] | None
     threads: int
     is_load: bool
-    waits_for_load: bool
+    blocked_by_loads: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,22 +124,22 @@
     """All that an instance is told at its start and may act on."""
 
     fleet_size: int
-    me: int  # this gateway's number among them, from 0
+    local_number: int  # this gateway's number among them, from 0
     zone: str
     classes: tuple[QueryClass, ...]
     tenants: tuple[Tenant, ...]
     kind_cores: dict[str, float]
     kind_memory_mb: dict[str, float]
-    max_grant_share: float
-    grants_heeded: bool
-    priorities_heeded: bool
-    tells_cost: bool
-    progress_us: int  # 0: no notes
-    reports_by: ReportsBy
+    max_memory_grant_share: float
+    memory_grants_honored: bool
+    priorities_honored: bool
+    reports_cost: bool
+    progress_interval_us: int  # 0: no notes
+    report_source: ReportSource
     probes_allowed: bool
     cancel_allowed: bool
-    second_copies: bool
-    peers_allowed: bool  # messages between gateways
+    concurrent_attempts_allowed: bool
+    peer_messages_allowed: bool  # messages between gateways
     retry_after: bool
     max_retry_after_us: int
     max_attempts: int | None  # None: no limit stated
@@ -147,16 +147,16 @@
     keepalive_us: int  # idle connections to engines close after so long
     tick_us: int
     list_on_request: bool
-    must_ask_us: int | None
-    cold_us: int
-    start_capacity: float
-    tip_multiple: float | None  # None: no cold engine falls over here
-    tip_after_us: int
+    max_list_age_us: int | None
+    warmup_us: int
+    initial_capacity_share: float
+    overload_multiple: float | None  # None: no cold engine falls over here
+    overload_window_us: int
     order_settle_us: int
-    budget_share: float | None  # None: further attempts are not rationed
-    budget_free: float
-    budget_window_us: int
-    price_cross_zone: float
+    retry_budget_ratio: float | None  # None: further attempts are not rationed
+    retry_budget_free: float
+    retry_budget_window_us: int
+    cross_zone_price: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,8 +170,8 @@
     weight: float
     state: EngineState
     started_us: int | None  # None: long ago
-    holders: int | None = None  # gateways that keep it; None: all of the fleet
-    rank: int = 0  # this gateway's place among them, from 0
+    assigned_gateways: int | None = None  # gateways that keep it; None: all of the fleet
+    assignment_rank: int = 0  # this gateway's place among them, from 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -179,7 +179,7 @@
     """Values that an engine reported; None for those that it did not."""
 
     utilisation: float | None = None
-    held: float | None = None
+    active_queries: float | None = None
     memory_queue: float | None = None
     memory_share: float | None = None
 
@@ -188,22 +188,22 @@
 class QueryArrived:
     query: int
     class_name: str
-    give_up_us: int
+    deadline_at_us: int
     cost_us: float | None
     memory_mb: float | None
-    tables: int | None
-    key: str | None
+    table_group: int | None
+    ordering_key: str | None
     tenant: str | None
-    repeat: bool
+    is_repeat: bool
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     query: int
 
 
 @dataclass(slots=True)
-class AttemptEnded:
+class AttemptFinished:
     query: int
     attempt: int
     engine: str
@@ -216,16 +216,16 @@
 
 
 @dataclass(slots=True)
-class AttemptNote:
+class AttemptStatusReceived:
     query: int
     attempt: int
     engine: str
-    topic: Topic
+    topic: StatusTopic
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
+class ProbeFinished:
     engine: str
     outcome: Outcome
     elapsed_us: int
@@ -238,34 +238,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineList:
+class EngineListReceived:
     kind: ListKind
     entries: tuple[EngineEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class PeerTold:
+class PeerMessageReceived:
     """A message from another gateway, as it came: it may be anything."""
 
-    origin: int
+    sender: int
     payload: bytes
 
 
 Event = (
-    PeerTold | QueryArrived | ClientLeft | AttemptEnded | AttemptNote | ProbeEnded | TimerFired | EngineList
+    PeerMessageReceived
+    | QueryArrived
+    | ClientDisconnected
+    | AttemptFinished
+    | AttemptStatusReceived
+    | ProbeFinished
+    | TimerFired
+    | EngineListReceived
 )
 
 
 @dataclass(slots=True)
-class Send:
+class SendAttempt:
     query: int
     engine: str
     timeout_us: int  # 0: until the client gives up
-    begin_by_us: int | None = None  # its first byte may go out no later; None: as long as it has time
+    start_by_us: int | None = None  # its first byte may go out no later; None: as long as it has time
 
 
 @dataclass(slots=True)
-class SetTerms:
+class SetGrantAndPriority:
     """Memory grant (0: the engine's choice) and priority (0 to 3) of a query's attempts."""
 
     query: int
@@ -280,7 +287,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RefuseQuery:
     """Final answer: not run, a retry does no harm."""
 
     query: int
@@ -288,7 +295,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailQuery:
     """Final answer without any assurance."""
 
     query: int
@@ -300,7 +307,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendPeerMessage:
     """At most 256 bytes to another gateway, None: to all others; nothing tells whether they arrive."""
 
     target: int | None
@@ -314,8 +321,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchList:
-    on: bool
-
-
-Action = Send | SetTerms | CancelAttempt | Refuse | Fail | SendProbe | TellPeer | SetTimer | WatchList
+class WatchEngineList:
+    enabled: bool
+
+
+Action = (
+    SendAttempt
+    | SetGrantAndPriority
+    | CancelAttempt
+    | RefuseQuery
+    | FailQuery
+    | SendProbe
+    | SendPeerMessage
+    | SetTimer
+    | WatchEngineList
+)
--- a/whintrail/scale/deployment.py
+++ b/whintrail/scale/deployment.py
@@ -101,5 +101,5 @@
     def entry(self, number: int, lifecycle: str = "active") -> api.EngineEntry:
         return read_entry(self.item(number, lifecycle))[0]
 
-    def listed(self, kind: api.ListKind = api.ListKind.FULL) -> api.EngineList:
-        return api.EngineList(kind, tuple(self.entry(number) for number in range(self.engines)))
+    def listed(self, kind: api.ListKind = api.ListKind.FULL) -> api.EngineListReceived:
+        return api.EngineListReceived(kind, tuple(self.entry(number) for number in range(self.engines)))
--- a/whintrail/scale/fits.py
+++ b/whintrail/scale/fits.py
@@ -5,7 +5,7 @@
 
 import click
 
-from whintrail.cli.output import emit, format_option
+from whintrail.cli.output import format_option, print_rows
 from whintrail.scale.fitting import FitError, Grows, fit
 from whintrail.scale.results import ResultsError, Sample, load
 
@@ -58,4 +58,4 @@
             samples += load(path).samples
         except ResultsError as error:
             raise click.ClickException(str(error)) from error
-    emit(rows([s for s in samples if quantity in s.quantity]), COLUMNS, form)
+    print_rows(rows([s for s in samples if quantity in s.quantity]), COLUMNS, form)
--- a/whintrail/scale/hollow.py
+++ b/whintrail/scale/hollow.py
@@ -18,24 +18,39 @@
 
 from whintrail import interface as api
 from whintrail.config import Fleet as FleetSettings
-from whintrail.fleet.membership import Life
-from whintrail.fleet.wire import DONE, WantSlot
+from whintrail.fleet.membership import MemberState
+from whintrail.fleet.wire import DONE, SlotRequest
 from whintrail.gateway.clock import Clock
 from whintrail.gateway.counters import Counters
-from whintrail.gateway.fleet import FleetPart, monotonic_us, read_given
+from whintrail.gateway.dispatcher import (
+    Attempt,
+    AttemptResult,
+    Dispatcher,
+    EngineListUpdate,
+    Inbox,
+    Input,
+    PeerDatagram,
+    ProbeResult,
+    Query,
+    QueryReceived,
+)
+from whintrail.gateway.fleet import FleetService, build_node_config, monotonic_us
 from whintrail.gateway.limits import Limits
 from whintrail.gateway.log import Log
-from whintrail.gateway.owner import Asked, Attempt, Ended, Inbox, Input, Listed, Owner, Probed, Query, Told
-from whintrail.gateway.peers import Peers
+from whintrail.gateway.peers import PeerTransport
 from whintrail.gateway.postgres import Rows
 from whintrail.gateway.statement import Statement
-from whintrail.gateway.subset import SubsetSide
+from whintrail.gateway.subset import SubsetService
 from whintrail.settings import read_settings
 from whintrail.subset.plan import SubsetPlan
 
 HEADERS = 28  # bytes of IPv4 and UDP ahead of each datagram
 ANSWER_S, PROBE_S = 0.02, 0.001  # the model of an engine: means of an answer and a probe
-KINDS: dict[type, str] = {api.PeerTold: "memo", api.EngineList: "list", api.TimerFired: "sweep"}
+KINDS: dict[type, str] = {
+    api.PeerMessageReceived: "memo",
+    api.EngineListReceived: "list",
+    api.TimerFired: "sweep",
+}
 Event = tuple[Any, ...]  # kind, gateway, microseconds of the machine's monotonic clock, more
 
 
@@ -67,13 +82,13 @@
         self.meter = meter
 
     def put(self, item: Input) -> None:
-        if isinstance(item, Told):
+        if isinstance(item, PeerDatagram):
             self.meter.calls["memos_in"] += 1
             self.meter.calls["bytes_in"] += len(item.payload) + HEADERS
         super().put(item)
 
 
-class CountedPeers(Peers):
+class CountedPeers(PeerTransport):
     """The program's datagrams, counted; `cut` names those to and from whom nothing passes."""
 
     def __init__(
@@ -89,17 +104,17 @@
         self.meter, self.cut = meter, frozenset[int]()
         self.memos = True
 
-    def tell(self, target: int | None, payload: bytes) -> None:
+    def send(self, target: int | None, payload: bytes) -> None:
         if target is None:
             if payload[:1] != b"\xf5":  # a memo
                 if not self.memos:
                     return
-            super().tell(None, payload)
+            super().send(None, payload)
             return
         if target in self.cut:
             return
         before = self.counters["peers", "sent"]
-        super().tell(target, payload)
+        super().send(target, payload)
         if self.counters["peers", "sent"] > before:
             self.meter.calls["datagrams_out"] += 1
             self.meter.calls["bytes_out"] += len(payload) + HEADERS
@@ -113,7 +128,7 @@
         self.inbox, self.random, self.meter = inbox, random, meter
         self.down: frozenset[str] = frozenset()
 
-    def update(self, listed: Listed) -> None:
+    def apply_engine_list(self, listed: EngineListUpdate) -> None:
         """A real gateway's links take the addresses here."""
 
     def report(self) -> api.LoadReport:
@@ -121,35 +136,35 @@
 
     def send(self, attempt: Attempt) -> None:
         dead = attempt.engine in self.down
-        ended = Ended(
+        ended = AttemptResult(
             attempt, api.Outcome.CONNECT_FAILED if dead else api.Outcome.OK, 5.0, 8.0, self.report()
         )
         later = asyncio.get_running_loop().call_later
         later(PROBE_S if dead else self.random.expovariate(1 / ANSWER_S), self.inbox.put, ended)
 
-    def undo(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Its outcome, when it comes, is that of an attempt that is over."""
 
-    def bump(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Priorities mean nothing here."""
 
     def probe(self, engine: str) -> None:
         self.meter.calls["probes"] += 1
         outcome = api.Outcome.CONNECT_FAILED if engine in self.down else api.Outcome.OK
-        probed = Probed(engine, outcome, self.inbox.clock.now_us(), self.report())
+        probed = ProbeResult(engine, outcome, self.inbox.clock.now_us(), self.report())
         asyncio.get_running_loop().call_later(PROBE_S, self.inbox.put, probed)
 
 
 class HollowClient:
-    def serve(self, query: Query, pages: list[Rows]) -> None: ...
-    def refuse(self, query: Query, pause_us: int | None) -> None: ...
+    def send_result(self, query: Query, pages: list[Rows]) -> None: ...
+    def refuse(self, query: Query, retry_after_us: int | None) -> None: ...
     def fail(self, query: Query, reason: str) -> None: ...
     def reject(self, query: Query, reason: str) -> None: ...
-    def gone(self, query: Query) -> bool:
+    def has_left(self, query: Query) -> bool:
         return False
 
 
-class HollowPart(FleetPart):
+class HollowPart(FleetService):
     """The program's fleet part; it also tells when the rule by which it acts, or its role, changes."""
 
     acts: tuple[str, bool] = ("0", False)
@@ -157,22 +172,22 @@
     watched: frozenset[int] = frozenset()
     tells: Callable[..., None]
 
-    def _after(self) -> None:
-        super()._after()
-        node, me = self.node, self.given.me
+    def _process_node_output(self) -> None:
+        super()._process_node_output()
+        node, me = self.node, self.node_config.local_number
         if node.settings is not None:
-            rule = node.settings.member.acting.rule(monotonic_us())
-            if (rule.name, rule.leased) != self.acts:
+            rule = node.settings.member.lease.active_version(monotonic_us())
+            if (rule.label, rule.leased) != self.acts:
                 # The owner looks at the lease before each decision: it ended when it ran out, though this
                 # turn, by which it is told, comes later where the process waited for a processor.
                 over = self.acts[1] and not rule.leased
-                at = min(monotonic_us(), node.settings.member.acting.until) if over else None
-                self.acts = rule.name, rule.leased
+                at = min(monotonic_us(), node.settings.member.lease.expires_at) if over else None
+                self.acts = rule.label, rule.leased
                 self.tells("rule", me, *self.acts, at=at)
-        if node.leads is not self.led:
-            self.led = node.leads
+        if node.is_leader is not self.led:
+            self.led = node.is_leader
             self.tells("leads", me, self.led)
-        if self.watched and all(node.members.members[n].life is Life.GONE for n in self.watched):
+        if self.watched and all(node.membership.members[n].state is MemberState.GONE for n in self.watched):
             self.tells("gone", me, sorted(self.watched))
             self.watched = frozenset()
 
@@ -188,11 +203,11 @@
     generation: int = 0
 
     def put(self, item: Input) -> None:
-        assert isinstance(item, Listed)
+        assert isinstance(item, EngineListUpdate)
         if item.event.kind is not api.ListKind.DELTA:
             self.entries.clear()
         for entry in item.event.entries:
-            if entry.state is api.EngineState.GONE:
+            if entry.state is api.EngineState.REMOVED:
                 self.entries.pop(entry.engine, None)
             else:
                 self.entries[entry.engine] = entry, item.addresses[entry.engine]
@@ -200,9 +215,13 @@
         for gateway in self.gateways.values():
             gateway.inbox.put(item)
 
-    def whole(self) -> Listed:
-        event = api.EngineList(api.ListKind.CACHED, tuple(entry for entry, _ in self.entries.values()))
-        return Listed(event, {name: where for name, (_, where) in self.entries.items()}, self.generation)
+    def whole(self) -> EngineListUpdate:
+        event = api.EngineListReceived(
+            api.ListKind.CACHED, tuple(entry for entry, _ in self.entries.values())
+        )
+        return EngineListUpdate(
+            event, {name: where for name, (_, where) in self.entries.items()}, self.generation
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -238,17 +257,20 @@
         limits, settings = Limits.read(config), read_settings(config["settings"])
         self.inbox = CountedInbox(Clock(), self.meter)
         self.peers = CountedPeers(config, limits, self.inbox, self.counters, common.log, self.meter)
-        self.peers.addresses, self.peers.numbers = common.addresses, common.numbers  # one copy for all
+        self.peers.addresses, self.peers.gateway_numbers = (
+            common.addresses,
+            common.numbers,
+        )  # one copy for all
         self.peers.memos = common.memos
         self.engines = ModelEngines(self.inbox, Random(number), self.meter)
-        self.owner = Owner(settings, number, limits, self.inbox, self.engines, self.counters, common.log)
+        self.owner = Dispatcher(settings, number, limits, self.inbox, self.engines, self.counters, common.log)
         self.owner.peers = self.peers
         if common.subset:
             self._keep_part(settings)
         fleet = common.fleet
         if common.sockets and number in fleet.council:
             fleet = replace(fleet, socket=f"{common.sockets}/s{number}")
-        self.given = read_given(fleet, settings, common.zones, len(common.addresses), "hollow")
+        self.given = build_node_config(fleet, settings, common.zones, len(common.addresses), "hollow")
         self.part = HollowPart(
             fleet, self.given, common.spoke, self.owner, self.peers, self.counters, common.log, self._stop
         )
@@ -262,17 +284,19 @@
     def _keep_part(self, settings: api.Settings) -> None:
         """As the program does where its operator's file has a `subset` part."""
         plan, owner = SubsetPlan(self.common.subset), self.owner
-        subset = SubsetSide(plan, settings, self.peers, lambda engine: not owner.held_by(engine))
+        subset = SubsetService(
+            plan, settings, self.peers, lambda engine: not owner.count_open_attempts(engine)
+        )
         for name in ("listed", "turn", "tell"):
             setattr(subset, name, self.meter.timed("subset", getattr(subset, name)))
-        owner.keep_part(subset, subset.turn_us)
+        owner.attach_subset(subset, subset.tick_interval_us)
 
     def _measure(self) -> None:
-        meter, node, module = self.meter, self.part.node, self.owner.module
+        meter, node, module = self.meter, self.part.node, self.owner.policy
         for name in ("tick", "take", "flush"):
             setattr(node, name, meter.timed(f"node_{name}", getattr(node, name)))
-        setattr(self.peers, "tell", self._measured_tell(self.peers.tell))  # noqa: B010
-        datagram = self.peers.fleet
+        setattr(self.peers, "tell", self._measured_tell(self.peers.send))  # noqa: B010
+        datagram = self.peers.on_fleet_datagram
         assert datagram is not None
 
         def heard(origin: int, data: bytes) -> None:
@@ -282,11 +306,11 @@
             meter.calls["fleet_in"] += 1
             datagram(origin, data)
 
-        self.peers.fleet = heard
+        self.peers.on_fleet_datagram = heard
         handle, clock = module.handle, time.thread_time_ns
 
         def handled(now: int, event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.PeerTold) and event.origin in self.peers.cut:
+            if isinstance(event, api.PeerMessageReceived) and event.sender in self.peers.cut:
                 return []
             began = clock()
             try:
@@ -297,11 +321,11 @@
                 meter.calls[name] += 1
 
         setattr(module, "handle", handled)  # noqa: B010
-        take = self.owner._take
+        take = self.owner._process
 
         def taken(item: Input) -> None:
             take(item)
-            if isinstance(item, Listed):  # the module has it, or it bears on nothing that is kept
+            if isinstance(item, EngineListUpdate):  # the module has it, or it bears on nothing that is kept
                 self.common.tells("list", self.number, self.part.lists.generation)
 
         setattr(self.owner, "_take", taken)  # noqa: B010
@@ -337,22 +361,22 @@
         if self.common.queries_per_s:
             first = Random(self.number).random() / self.common.queries_per_s
             self.timer = loop.call_later(first, self._ask)
-        self.common.tells("up", self.number, self.part.node.birth)
+        self.common.tells("up", self.number, self.part.node.boot_id)
 
     def _ask(self) -> None:
         self.timer = asyncio.get_running_loop().call_later(1 / self.common.queries_per_s, self._ask)
         self.asked += 1
         statement = Statement("lookup", b"%016x" % self.asked, None, 5.0, 8.0, b"select 1", None)
-        self.inbox.put(Asked(Query(HollowClient(), statement, self.inbox.clock.now_us())))
+        self.inbox.put(QueryReceived(Query(HollowClient(), statement, self.inbox.clock.now_us())))
 
     def _stop(self) -> None:
         self.left.set()
 
     async def restart_by_slot(self, wait_s: float) -> bool:
         """What `may-restart` with `stop` does on the fleet's socket; whether the slot was granted."""
-        wanted = WantSlot(self.part.node.birth, self.given.build)
-        outcome = await self.part.wish(wanted, wait_s, True)
-        if outcome.word != DONE or self.part.node.holder.held is None:
+        wanted = SlotRequest(self.part.node.boot_id, self.given.build)
+        outcome = await self.part.request_change(wanted, wait_s, True)
+        if outcome.status != DONE or self.part.node.leader_client.held_slot is None:
             return False
         self.part.leave()
         return True
@@ -363,8 +387,8 @@
         self.peers.close()
         if self.timer is not None:
             self.timer.cancel()
-        if self.owner.alarm is not None:
-            self.owner.alarm.cancel()
+        if self.owner.wakeup is not None:
+            self.owner.wakeup.cancel()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -376,30 +400,34 @@
         part = self.part
         return {
             "number": self.number,
-            "birth": part.node.birth,
-            "leads": part.node.leads,
-            "leader": part.node.leader_of(monotonic_us()),
-            "alive": part.node.members.count(Life.ALIVE),
-            "gone": [m.number for m in part.node.members.members if m.life in (Life.LEAVING, Life.GONE)],
+            "birth": part.node.boot_id,
+            "leads": part.node.is_leader,
+            "leader": part.node.current_leader(monotonic_us()),
+            "alive": part.node.membership.count_in(MemberState.ALIVE),
+            "gone": [
+                m.number
+                for m in part.node.membership.members
+                if m.state in (MemberState.LEAVING, MemberState.GONE)
+            ],
             "rule": part.acts[0],
             "leased": part.acts[1],
             "generation": part.lists.generation,
             "spent_ns": dict(self.meter.spent),
             "calls": dict(self.meter.calls),
-            "counts": {**part.node.counts, "faults": self.counters["fleet", "faults"]},
+            "counts": {**part.node.counters, "faults": self.counters["fleet", "faults"]},
             "served": self.counters["queries", "served"],
         }
 
     def digest(self) -> tuple[int, int, int]:
         """Gateway, generation and digest of the engines that it takes for ready, kept or not."""
         owner = self.owner
-        found = owner.listed_engines() if self.common.subset else owner.module.engines
+        found = owner.listed_engines() if self.common.subset else owner.policy.engines
         ready = (name for name, engine in found.items() if engine.state is api.EngineState.READY)
         return self.number, self.part.lists.generation, digest_of(ready)
 
     def kept(self) -> list[str]:
         """Engines that its module may draw."""
-        return [engine.address for engine in self.owner.module.ready]
+        return [engine.address for engine in self.owner.policy.ready]
 
 
 def digest_of(ready: Iterable[str]) -> int:
--- a/whintrail/scale/host.py
+++ b/whintrail/scale/host.py
@@ -12,9 +12,9 @@
 from msgspec import Struct
 
 from whintrail.config import Fleet as FleetSettings
-from whintrail.gateway.bulletin import Bulletin
+from whintrail.gateway.bulletin import BulletinClient
 from whintrail.gateway.clock import Clock
-from whintrail.gateway.connection import address
+from whintrail.gateway.connection import parse_address
 from whintrail.gateway.counters import Counters
 from whintrail.gateway.fleet import monotonic_us
 from whintrail.gateway.limits import Limits
@@ -52,9 +52,9 @@
         self.log = Log("hollow", 5.0, 1.0)
         self.limits = Limits.read(given.config)
         # The reader puts into `Reading` as it would into an owner's inbox.
-        self.bulletin = Bulletin(given.config, self.limits, self.reading, Counters(), self.log)  # type: ignore[arg-type]
-        setattr(self.bulletin, "take_line", self.meter.timed("read", self.bulletin.take_line))  # noqa: B010
-        where = [address(text) for text in given.addresses]
+        self.bulletin = BulletinClient(given.config, self.limits, self.reading, Counters(), self.log)  # type: ignore[arg-type]
+        setattr(self.bulletin, "take_line", self.meter.timed("read", self.bulletin.process_line))  # noqa: B010
+        where = [parse_address(text) for text in given.addresses]
         self.common = Common(
             config=given.config,
             fleet=given.fleet,
@@ -66,7 +66,7 @@
             memos=given.memos,
             log=self.log,
             reading=self.reading,
-            spoke=lambda: self.bulletin.spoke_us,
+            spoke=lambda: self.bulletin.last_received_us,
             tells=self.tells,
             sockets=given.sockets,
             subset=given.subset,
--- a/whintrail/scale/inputs.py
+++ b/whintrail/scale/inputs.py
@@ -9,17 +9,17 @@
 
 from msgspec import Struct
 
-from whintrail import brain
+from whintrail import routing
 from whintrail.config.records import Fleet
-from whintrail.fleet.council import CouncilPace
-from whintrail.fleet.membership import Pace
-from whintrail.fleet.node import REPORT_US, RETELLS
-from whintrail.fleet.replica import KEPT, MOST_PIECES
-from whintrail.fleet.state import MOST_SLOTS
-from whintrail.fleet.wire import PIECE
-from whintrail.gateway.fleet import TURN_S
+from whintrail.fleet.consensus import ConsensusTiming
+from whintrail.fleet.membership import MembershipTiming
+from whintrail.fleet.node import REBROADCASTS, REPORT_INTERVAL_US
+from whintrail.fleet.replica import MAX_CHUNKS, RETAINED_ENTRIES
+from whintrail.fleet.state import MAX_SLOTS
+from whintrail.fleet.wire import CHUNK_BYTES
+from whintrail.gateway.fleet import TICK_INTERVAL_S
 from whintrail.gateway.limits import Limits
-from whintrail.versions.member import VersionPace
+from whintrail.versions.member import VersionTiming
 
 Source = Literal["operators", "assumed", "program"]
 
@@ -46,7 +46,12 @@
 
 SOCKETS, MEMORY_MB = 1024, 192  # the most that the platform gives a gateway
 LIMITS = Limits.read({"limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB}, "settings": {}})
-FLEET, VERSIONS, MEMBERSHIP, COUNCIL = Fleet(name="x", council=(0,)), VersionPace(), Pace(), CouncilPace()
+FLEET, VERSIONS, MEMBERSHIP, COUNCIL = (
+    Fleet(name="x", council=(0,)),
+    VersionTiming(),
+    MembershipTiming(),
+    ConsensusTiming(),
+)
 
 ALL = (
     _given("gateways", "count", 4000, "the size that is coming"),
@@ -91,7 +96,9 @@
     _assumed("out_zone_share", "share", 0.1, "the same in a zone"),
     _assumed("restart_s", "s", 30, "from the end of a process to its successor's start"),
     _own("proven_s", "s", FLEET.proven_s, "a new process has to have served so long"),
-    _own("check_s", "s", VERSIONS.check_us / 1e6, "for all to say whether they can act on a proposal"),
+    _own(
+        "check_s", "s", VERSIONS.check_timeout_us / 1e6, "for all to say whether they can act on a proposal"
+    ),
     _own(
         "change_round_trips",
         "count",
@@ -99,30 +106,55 @@
         "docs/versions.md, its steps in turn: asked of the leader 0.5; proposed, entered, settled: decided 1 "
         "and told 0.5 each; the body fetched 1; verdict, and acting on the merge, said 0.5 each; a lease 1",
     ),
-    _own("refresh_per_s", "1/s", 1e6 / brain.REFRESH_US, "brain.REFRESH_US: while work is out"),
-    _own("sweep_per_s", "1/s", 1e6 / brain.SWEEP_US, "brain.SWEEP_US"),
-    _own("turns_per_s", "1/s", 1 / TURN_S, "gateway/fleet.TURN_S"),
     _own(
-        "probe_shared_s", "s", brain.PROBE_SHARED_US / 1e6, "an engine is asked so often by the whole fleet"
+        "refresh_per_s",
+        "1/s",
+        1e6 / routing.WEIGHT_REFRESH_INTERVAL_US,
+        "brain.REFRESH_US: while work is out",
+    ),
+    _own("sweep_per_s", "1/s", 1e6 / routing.SWEEP_INTERVAL_US, "brain.SWEEP_US"),
+    _own("turns_per_s", "1/s", 1 / TICK_INTERVAL_S, "gateway/fleet.TURN_S"),
+    _own(
+        "probe_shared_s",
+        "s",
+        routing.SHARED_PROBE_INTERVAL_US / 1e6,
+        "an engine is asked so often by the whole fleet",
+    ),
+    _own(
+        "silent_s", "s", routing.MIN_SILENCE_US / 1e6, "silence of an engine before it is given up, at least"
     ),
-    _own("silent_s", "s", brain.SILENT_US / 1e6, "silence of an engine before it is given up, at least"),
     _own("lease_s", "s", VERSIONS.lease_us / 1e6, "VersionPace: a rule holds so long from the asking"),
     _own(
         "lease_asks_per_s",
         "1/s",
-        1e6 / VERSIONS.ask_us,
+        1e6 / VERSIONS.renew_interval_us,
         "VersionPace, a gateway; what is new is asked at once",
     ),
-    _own("stated_s", "s", VERSIONS.stated_us / 1e6, "T of docs/versions.md"),
-    _own("election_s", "s", (COUNCIL.election_us + COUNCIL.spread_us) / 1e6, "without a leader, at most"),
-    _own("beats_per_s", "1/s", 1e6 / COUNCIL.beat_us, "of the leader to each of the council"),
-    _own("retells", "count", RETELLS, "what is decided is told to all so often"),
+    _own("stated_s", "s", VERSIONS.max_divergence_us / 1e6, "T of docs/versions.md"),
+    _own(
+        "election_s",
+        "s",
+        (COUNCIL.election_timeout_us + COUNCIL.election_jitter_us) / 1e6,
+        "without a leader, at most",
+    ),
+    _own("beats_per_s", "1/s", 1e6 / COUNCIL.heartbeat_us, "of the leader to each of the council"),
+    _own("retells", "count", REBROADCASTS, "what is decided is told to all so often"),
+    _own(
+        "reports_per_s",
+        "1/s",
+        1e6 / REPORT_INTERVAL_US,
+        "a gateway's to the leader, while it has something to decide",
+    ),
+    _own(
+        "entries_kept",
+        "count",
+        RETAINED_ENTRIES,
+        "a replica can tell these again; past them the whole state goes",
+    ),
     _own(
-        "reports_per_s", "1/s", 1e6 / REPORT_US, "a gateway's to the leader, while it has something to decide"
+        "state_most_bytes", "bytes", MAX_CHUNKS * CHUNK_BYTES, "the longest state that a newcomer can be told"
     ),
-    _own("entries_kept", "count", KEPT, "a replica can tell these again; past them the whole state goes"),
-    _own("state_most_bytes", "bytes", MOST_PIECES * PIECE, "the longest state that a newcomer can be told"),
-    _own("slots_most", "count", MOST_SLOTS, "that the agreed state holds"),
+    _own("slots_most", "count", MAX_SLOTS, "that the agreed state holds"),
     _own(
         "answer_slack_ms",
         "ms",
@@ -137,7 +169,7 @@
         f"45% of {SOCKETS} descriptors, the platform's most",
     ),
     _own("link_limit", "count", LIMITS.engine_connections, f"35% of {SOCKETS} descriptors"),
-    _own("keepalive_s", "s", LIMITS.idle_link_s, "an idle link to an engine stays so long"),
+    _own("keepalive_s", "s", LIMITS.link_idle_timeout_s, "an idle link to an engine stays so long"),
     _own("memory_mb", "MB", MEMORY_MB, "of a gateway in all: the platform's most"),
     _own(
         "messages_per_s", "1/s", FLEET.messages_per_s, "a gateway's fleet datagrams out, as the setting comes"
--- a/whintrail/scale/page.py
+++ b/whintrail/scale/page.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from whintrail.cli.output import emit, format_option
+from whintrail.cli.output import format_option, print_rows
 from whintrail.scale import capacity, rates, rows, tables
 from whintrail.scale.capacity import Figures, Found, Use
 from whintrail.scale.fitting import Fit, Grows, selected
@@ -353,7 +353,9 @@
     size = float(gateways), float(engines)
     held = [f for f in (capacity.find(row, figures, size) for row in rows.ROWS) if f.row.budget is not None]
     shown = [f for f in held if every or f.passed]
-    emit((_checked(f) for f in shown), ("row", "role", "value", "budget", "unit", "used", "verdict"), form)
+    print_rows(
+        (_checked(f) for f in shown), ("row", "role", "value", "budget", "unit", "used", "verdict"), form
+    )
     passed, unknown = sum(f.passed for f in held), sum(f.value is None for f in held)
     click.echo(
         f"{passed} of {len(held)} budgets passed, {unknown} not measured, at {gateways} and {engines}",
--- a/whintrail/scale/real.py
+++ b/whintrail/scale/real.py
@@ -23,7 +23,7 @@
 import msgspec
 from msgspec import Struct, structs
 
-from whintrail.gateway.limits import MEGABYTE
+from whintrail.gateway.limits import BYTES_PER_MB
 from whintrail.scale import bulletin, engines, load
 from whintrail.scale.measure import Delays, read_process
 from whintrail.scale.procs import BoundError, Child, ChildError, Group
@@ -208,7 +208,7 @@
             stalls: list[float] = []
             lost = 0
             for _ in range(count):
-                refused = do == "whole" and site.line_bytes >= MEGABYTE
+                refused = do == "whole" and site.line_bytes >= BYTES_PER_MB
                 each = await site.publish(do, patience_s=4.0 if refused else 10.0)
                 found += [seconds for seconds in each if seconds is not None]
                 lost += sum(seconds is None for seconds in each)
--- a/whintrail/scale/rig.py
+++ b/whintrail/scale/rig.py
@@ -14,7 +14,7 @@
 
 from whintrail.config import Fleet
 from whintrail.config.records import Versions
-from whintrail.control.lines import ask_lines
+from whintrail.control.json_lines import send_request
 from whintrail.scale import bulletin as bulletins
 from whintrail.scale import engines, load
 from whintrail.scale.auditor import Auditor
@@ -24,7 +24,7 @@
 from whintrail.scale.procs import Child, Group
 from whintrail.scale.real import free_ports
 from whintrail.standins.scripted import settings
-from whintrail.versions.lists import Lists
+from whintrail.versions.engine_list import EngineListState
 
 PEERS = re.compile(r"kind=counters event=peers (heard=[^\n]*)\n")
 LEAST_HOLDERS = 4  # of an engine that is ready, by those that are up: half of what the plan asks
@@ -146,7 +146,7 @@
 
     def _ask_real(self, *asked: str) -> list[tuple[int, list[list[dict[str, Any]]]]]:
         """Of each real gateway by its fleet's socket; blocking."""
-        return [(n, [list(ask_lines(self.socket(n), {"what": a})) for a in asked]) for n in self.real]
+        return [(n, [list(send_request(self.socket(n), {"what": a})) for a in asked]) for n in self.real]
 
     async def look(self) -> None:
         """What real gateways tell of themselves, to the auditor."""
@@ -309,8 +309,8 @@
 
     def published(self, generation: int, at: int) -> None:
         self.auditor.publish(generation, at, self.digest())
-        mirror = Lists(0)
-        mirror.listed(at, generation, True, self._states())
+        mirror = EngineListState(0)
+        mirror.apply_event(at, generation, True, self._states())
         self.digests_real[generation] = f"{mirror.digest:08x}"
 
     def _states(self) -> list[tuple[str, bool, bool]]:
@@ -322,11 +322,11 @@
         path = self.socket(by)
 
         def asked() -> tuple[str, str]:
-            row = next(iter(ask_lines(path, {"what": "settings"})))
+            row = next(iter(send_request(path, {"what": "settings"})))
             number = str(row["in_force"] + 1)
             body = {"caps": {"lookup": caps}}
             request = {"what": "propose", "body": body, "why": "scale", "wait_s": 10.0}
-            row = next(iter(ask_lines(path, request, 20.0)))
+            row = next(iter(send_request(path, request, 20.0)))
             return row["word"] if row["word"] == "done" else f"{row['word']}: {row['text']}", number
 
         return await asyncio.to_thread(asked)
--- a/whintrail/scale/rows.py
+++ b/whintrail/scale/rows.py
@@ -3,9 +3,17 @@
 
 import math
 
-from whintrail.fleet import memo
-from whintrail.fleet.state import Propose, Settle
-from whintrail.fleet.wire import Any_, Entry, LeaseAsk, LeaseTell, Report, Told, encode
+from whintrail.fleet import probe_reports
+from whintrail.fleet.state import ProposeVersion, SettleVersion
+from whintrail.fleet.wire import (
+    AnyMessage,
+    CommittedEntries,
+    Entry,
+    GatewayReport,
+    LeaseReply,
+    LeaseRequest,
+    encode,
+)
 from whintrail.interface import LoadReport
 from whintrail.scale.capacity import Estimate, NotMeasured, Row, Size, exactly, per_s
 from whintrail.scale.inputs import value as given
@@ -25,18 +33,22 @@
 CLIENTS = given("client_connections") / given("gateways")
 
 
-def datagram(message: Any_) -> float:
+def datagram(message: AnyMessage) -> float:
     """Bytes on the wire, encoded as the program does, with the heads of IPv4 and UDP."""
     return len(encode(0xFFFFFFFF, 0xFFF, 0xFFFFFFFF, 0xFFFFFFFF, message)) + given("datagram_overhead")
 
 
 U32, U64, EPOCH = 0xFFFFFFF0, (1 << 62) - 1, 1 << 33
-LEASE_ASK = datagram(LeaseAsk(U32, U32, False, U64, ""))
-LEASE_TELL = datagram(LeaseTell(U32, U32, False, 1200))
-TOLD = datagram(Told(EPOCH, U32, U32, 3999, (Entry(U32, 9, Settle(U32)),)))
-PROPOSED = datagram(Told(EPOCH, U32, U32, 3999, (Entry(U32, 9, Propose(U32, U64, 3999, "w" * 16, EPOCH)),)))
-REPORT = datagram(Report(EPOCH, 9, U32, "b42", 3, U32, 0, (), ((U32, 9, 9, 9),) * 4))
-MEMO = len(memo.encode([memo.Sighting(0, 0, LoadReport(0.5, 1, 0, 0.5))])) + given("datagram_overhead")
+LEASE_ASK = datagram(LeaseRequest(U32, U32, False, U64, ""))
+LEASE_TELL = datagram(LeaseReply(U32, U32, False, 1200))
+TOLD = datagram(CommittedEntries(EPOCH, U32, U32, 3999, (Entry(U32, 9, SettleVersion(U32)),)))
+PROPOSED = datagram(
+    CommittedEntries(EPOCH, U32, U32, 3999, (Entry(U32, 9, ProposeVersion(U32, U64, 3999, "w" * 16, EPOCH)),))
+)
+REPORT = datagram(GatewayReport(EPOCH, 9, U32, "b42", 3, U32, 0, (), ((U32, 9, 9, 9),) * 4))
+MEMO = len(probe_reports.encode([probe_reports.ProbeReport(0, 0, LoadReport(0.5, 1, 0, 0.5))])) + given(
+    "datagram_overhead"
+)
 TOLD_CHANGE = PROPOSED + (ENTRIES - 1) * TOLD  # the entries of one change of settings, told once
 
 
@@ -95,9 +107,9 @@
     """By the sightings: memos of a subset hold several."""
     datagrams, size = s.measured("memo_datagrams_per_s", "engines"), s.measured("memo_bytes_per_s", "engines")
     each = s.measured("module_memo_us", "engines")
-    head = given("datagram_overhead") + memo.HEAD.size
+    head = given("datagram_overhead") + probe_reports.HEADER.size
     parts = zip(_three(datagrams), _three(size), _three(each), strict=True)
-    return Estimate(*(max(0.0, b - head * d) / memo.ENTRY.size * us / 1e6 for d, b, us in parts))
+    return Estimate(*(max(0.0, b - head * d) / probe_reports.ENTRY.size * us / 1e6 for d, b, us in parts))
 
 
 def _three(e: Estimate) -> tuple[float, float, float]:
@@ -189,7 +201,7 @@
 
 CORE, CORE_NAME = 1.0, "a core: one process, one loop"
 CPU_NAME, BYTES_NAME, MEMORY_NAME = "1.4% of a core", "4 KB/s", "64 MB"
-BRAIN = "whintrail/brain.py:Gateway."
+BRAIN = "whintrail/routing.py:RoutingPolicy."
 
 ROWS: tuple[Row, ...] = (
     Row(
@@ -225,7 +237,7 @@
         _statement,
         given("data_path_cores") - CPU,
         "a core less control's 1.4%",
-        "whintrail/gateway/owner.py:Owner._asked",
+        "whintrail/gateway/dispatcher.py:Dispatcher._on_query",
         f"query_marginal_cpu_us x {STATEMENTS:,.0f}/s x peak {given('peak_over_mean'):g}",
     ),
     Row(
@@ -261,7 +273,7 @@
         _whole_list_ms,
         SLACK_MS,
         "the slack of a final answer",
-        "whintrail/gateway/bulletin.py:read_listed",
+        "whintrail/gateway/bulletin.py:read_list_update",
         "list_read_whole_us + gateway_update_whole_us + module_list_whole_us, in one go",
     ),
     Row(
@@ -275,7 +287,7 @@
         ),
         SLACK_MS,
         "the slack of a final answer",
-        "whintrail/gateway/owner.py:Owner._listed",
+        "whintrail/gateway/dispatcher.py:Dispatcher._forward_engine_list",
         "loop_stall_ms, whole list",
         total=True,
     ),
@@ -290,7 +302,7 @@
         ),
         SLACK_MS,
         "the slack of a final answer",
-        "whintrail/gateway/owner.py:Owner._listed",
+        "whintrail/gateway/dispatcher.py:Dispatcher._forward_engine_list",
         "loop_stall_ms, one entry",
         total=True,
     ),
@@ -316,7 +328,7 @@
         _links,
         given("link_limit"),
         "35% of 1,024 descriptors",
-        "whintrail/gateway/links.py:Links",
+        "whintrail/gateway/links.py:LinkPool",
         "engines x (1 - e^(-statements in the keepalive / engines))",
         "setting `sockets`",
     ),
@@ -402,7 +414,7 @@
         _node_cpu,
         CPU,
         CPU_NAME,
-        "whintrail/fleet/node.py:Node.tick",
+        "whintrail/fleet/node.py:FleetNode.tick",
         "node_cpu_share",
     ),
     Row(
@@ -414,7 +426,7 @@
         _cpu_sum,
         CPU,
         CPU_NAME,
-        "whintrail/brain.py:Gateway",
+        "whintrail/routing.py:RoutingPolicy",
         "refresh + sweep + list events + memos + node",
         total=True,
     ),
@@ -427,7 +439,7 @@
         lambda s: s.measured("control_cpu_share", "engines", kind="hollow", role="gateway"),
         CPU,
         CPU_NAME,
-        "whintrail/brain.py:Gateway",
+        "whintrail/routing.py:RoutingPolicy",
         "control_cpu_share over engines",
         total=True,
     ),
@@ -440,7 +452,7 @@
         lambda s: s.measured("control_cpu_share", "gateways", kind="hollow", role="gateway"),
         CPU,
         CPU_NAME,
-        "whintrail/fleet/node.py:Node",
+        "whintrail/fleet/node.py:FleetNode",
         "control_cpu_share over gateways",
         total=True,
     ),
@@ -453,7 +465,7 @@
         _hollow_bytes,
         BYTES,
         BYTES_NAME,
-        "whintrail/gateway/peers.py:Peers",
+        "whintrail/gateway/peers.py:PeerTransport",
         "bytes_in_per_s + bytes_out_per_s over gateways",
         total=True,
     ),
@@ -490,7 +502,7 @@
         _member_bytes,
         BYTES,
         BYTES_NAME,
-        "whintrail/fleet/node.py:Node.flush",
+        "whintrail/fleet/node.py:FleetNode.flush",
         "node_bytes_per_s",
     ),
     Row(
@@ -502,7 +514,7 @@
         lambda s: s.measured("member_bytes_per_s", "gateways", kind="simulated", role="gateway"),
         BYTES,
         BYTES_NAME,
-        "whintrail/fleet/node.py:Node.flush",
+        "whintrail/fleet/node.py:FleetNode.flush",
         "member_bytes_per_s",
         total=True,
     ),
@@ -515,7 +527,7 @@
         _delta_bytes,
         BYTES,
         BYTES_NAME,
-        "whintrail/gateway/bulletin.py:Bulletin.take_line",
+        "whintrail/gateway/bulletin.py:BulletinClient.process_line",
         f"(list_line_bytes an engine + 52) x {CHANGES:.2f}/s",
     ),
     Row(
@@ -527,7 +539,7 @@
         _told_bytes,
         BYTES,
         BYTES_NAME,
-        "whintrail/fleet/node.py:Node._retell",
+        "whintrail/fleet/node.py:FleetNode._rebroadcast",
         f"(log_told_bytes + version_body_fetch_bytes) x {CHANGES:.2f}/s",
     ),
     Row(
@@ -539,7 +551,7 @@
         _bytes_sum,
         BYTES,
         BYTES_NAME,
-        "whintrail/gateway/peers.py:Peers",
+        "whintrail/gateway/peers.py:PeerTransport",
         "memos + fleet + list events + decided",
         total=True,
     ),
@@ -564,7 +576,7 @@
         lambda s: s.measured("node_bytes", "gateways", role="gateway"),
         MEMORY,
         MEMORY_NAME,
-        "whintrail/fleet/node.py:Node",
+        "whintrail/fleet/node.py:FleetNode",
         "node_bytes",
     ),
     Row(
@@ -589,7 +601,7 @@
         lambda s: s.measured("list_line_bytes", "engines"),
         given("bulletin_line_bytes"),
         "1 MiB: a longer line is refused",
-        "whintrail/gateway/bulletin.py:Bulletin._follow",
+        "whintrail/gateway/bulletin.py:BulletinClient._follow_events",
         "list_line_bytes",
     ),
     Row(
@@ -603,7 +615,7 @@
         ),
         IN_FORCE,
         "3 s",
-        "whintrail/versions/guide.py:Guide.tick",
+        "whintrail/versions/leader.py:VersionLeader.tick",
         "version_in_force_s, its 99th hundredth",
     ),
     Row(
@@ -615,7 +627,7 @@
         _one_after_another,
         1.0,
         "the whole day",
-        "whintrail/versions/guide.py:Guide.tick",
+        "whintrail/versions/leader.py:VersionLeader.tick",
         f"version_in_force_s x {CHANGES:.2f}/s",
     ),
     Row(
@@ -627,7 +639,7 @@
         lambda s: s.measured("list_apply_s", "gateways", kind="hollow", day="changes", stat="high"),
         IN_FORCE,
         "3 s",
-        "whintrail/gateway/bulletin.py:Bulletin.take_line",
+        "whintrail/gateway/bulletin.py:BulletinClient.process_line",
         "list_apply_s, its 99th hundredth",
     ),
     Row(
@@ -651,7 +663,7 @@
         lambda s: s.measured("state_newcomer_s", "gateways", kind="simulated", day="losses"),
         None,
         "",
-        "whintrail/fleet/replica.py:Replica.pull",
+        "whintrail/fleet/replica.py:Replica.request_missing",
         "state_newcomer_s",
     ),
     Row(
@@ -663,7 +675,7 @@
         lambda s: exactly(1 - (1 - 2.0**-16) ** (s.engines - 1)),
         None,
         "",
-        "whintrail/fleet/memo.py:keys_of",
+        "whintrail/fleet/probe_reports.py:engines_by_key",
         "1 - (1 - 1/65,536)^(engines - 1)",
     ),
     Row(
@@ -711,7 +723,7 @@
         lambda s: exactly(s.gateways),
         None,
         "",
-        "whintrail/gateway/links.py:Links",
+        "whintrail/gateway/links.py:LinkPool",
         "1 a gateway",
     ),
     Row(
@@ -735,7 +747,7 @@
         lambda s: exactly(2 * given("beats_per_s")),
         None,
         "",
-        "whintrail/fleet/council.py:Council._beat",
+        "whintrail/fleet/consensus.py:Consensus._send_heartbeats",
         "5/s in, 5/s out, and one each way an entry",
     ),
     Row(
@@ -747,7 +759,7 @@
         lambda s: s.measured("control_cpu_share", "gateways", kind="hollow", role="control machine"),
         CORE,
         CORE_NAME,
-        "whintrail/fleet/council.py:Council",
+        "whintrail/fleet/consensus.py:Consensus",
         "control_cpu_share of a member of the council",
     ),
     Row(
@@ -759,7 +771,7 @@
         lambda s: s.measured("leader_cpu_share", "gateways", kind="simulated"),
         CORE,
         CORE_NAME,
-        "whintrail/fleet/node.py:Node._lead",
+        "whintrail/fleet/node.py:FleetNode._run_leader",
         "leader_cpu_share",
         total=True,
     ),
@@ -772,7 +784,7 @@
         lambda s: s.measured("node_cpu_share", "gateways", role="leader"),
         CORE,
         CORE_NAME,
-        "whintrail/fleet/node.py:Node._lead",
+        "whintrail/fleet/node.py:FleetNode._run_leader",
         "node_cpu_share of the leader",
     ),
     Row(
@@ -784,7 +796,7 @@
         lambda s: share(s.measured("leader_engines_us", "engines", role="leader"), given("turns_per_s")),
         CORE,
         CORE_NAME,
-        "whintrail/gateway/fleet.py:FleetPart.engines",
+        "whintrail/gateway/fleet.py:FleetService.engines",
         f"leader_engines_us x {given('turns_per_s'):g}/s",
     ),
     Row(
@@ -799,7 +811,7 @@
         ),
         CORE,
         CORE_NAME,
-        "whintrail/gateway/fleet.py:FleetPart.engines",
+        "whintrail/gateway/fleet.py:FleetService.engines",
         "its node + all engines gathered",
         "some lines: engines gathered when a list event comes",
         True,
@@ -825,7 +837,7 @@
         lambda s: s.measured("leader_lease_answered", "gateways", role="leader"),
         None,
         "",
-        "whintrail/fleet/node.py:Spending.take",
+        "whintrail/fleet/node.py:SendBudget.take",
         "leader_lease_answered",
     ),
     Row(
@@ -837,7 +849,7 @@
         _lease_cpu,
         CORE,
         CORE_NAME,
-        "whintrail/versions/guide.py:Guide.asked",
+        "whintrail/versions/leader.py:VersionLeader.grant_lease",
         f"node_take_us x {ASKS:g}/s a gateway",
     ),
     Row(
@@ -849,7 +861,7 @@
         lambda s: exactly(2 * ASKS * s.gateways),
         None,
         "",
-        "whintrail/versions/guide.py:Guide.asked",
+        "whintrail/versions/leader.py:VersionLeader.grant_lease",
         f"{ASKS:g}/s a gateway, each way",
     ),
     Row(
@@ -861,7 +873,7 @@
         _told_out,
         None,
         "",
-        "whintrail/fleet/node.py:Node._retell",
+        "whintrail/fleet/node.py:FleetNode._rebroadcast",
         f"{ENTRIES:g} entries x {RETELLS:g} tellings x {CHANGES:.2f}/s a gateway",
     ),
     Row(
@@ -873,7 +885,7 @@
         lambda s: exactly(given("reports_per_s") * s.gateways),
         None,
         "",
-        "whintrail/fleet/leader.py:Leader.report",
+        "whintrail/fleet/leader.py:Leader.receive_report",
         f"{given('reports_per_s'):g}/s a gateway",
     ),
     Row(
@@ -885,7 +897,7 @@
         _leader_net,
         1.0,
         "a control machine's network",
-        "whintrail/fleet/node.py:Node.flush",
+        "whintrail/fleet/node.py:FleetNode.flush",
         f"({ASKS:g} x ({LEASE_ASK:.0f} + {LEASE_TELL:.0f}) + {RETELLS:g} x {CHANGES:.2f} x {TOLD_CHANGE:.0f}"
         f" + {given('reports_per_s'):g} x {REPORT:.0f}) bytes/s a gateway",
     ),
@@ -898,7 +910,7 @@
         lambda s: exactly(ASKS * s.gateways) + _told_out(s),
         given("messages_per_s"),
         "`messages_per_s` as it comes",
-        "whintrail/fleet/node.py:Spending.take",
+        "whintrail/fleet/node.py:SendBudget.take",
         f"({ASKS:g} + {ENTRIES * RETELLS * CHANGES:.2f})/s a gateway",
         "setting `messages_per_s`",
     ),
@@ -911,7 +923,7 @@
         lambda s: exactly(ASKS * (LEASE_ASK + LEASE_TELL) * s.gateways),
         BYTES,
         BYTES_NAME,
-        "whintrail/versions/guide.py:Guide.asked",
+        "whintrail/versions/leader.py:VersionLeader.grant_lease",
         f"{ASKS:g}/s x ({LEASE_ASK:.0f} + {LEASE_TELL:.0f} bytes) a gateway",
         "setting `council`: gateways on control machines",
     ),
@@ -996,7 +1008,7 @@
         lambda s: s.measured("slot_s", "gateways", kind="simulated"),
         None,
         "",
-        "whintrail/fleet/leader.py:Leader._slot",
+        "whintrail/fleet/leader.py:Leader._decide_slot",
         "slot_s",
     ),
     Row(
@@ -1008,7 +1020,7 @@
         lambda s: s.measured("slot_s", "gateways", kind="simulated") * per_s("restarts_a_day"),
         1.0,
         "the whole day",
-        "whintrail/fleet/leader.py:Leader._slot",
+        "whintrail/fleet/leader.py:Leader._decide_slot",
         f"slot_s x {per_s('restarts_a_day'):.3f}/s",
     ),
 )
@@ -1024,7 +1036,7 @@
         lambda s: share(s.measured("part_delta_us", "engines"), CHANGES),
         CPU,
         CPU_NAME,
-        "whintrail/subset/part.py:Part.listed",
+        "whintrail/subset/assignment.py:SubsetAssignment.apply_list",
         f"part_delta_us x {CHANGES:.2f}/s",
         total=True,
     ),
@@ -1037,7 +1049,7 @@
         lambda s: s.measured("part_start_us", "engines") * 1e-3,
         SLACK_MS,
         "the slack of a final answer",
-        "whintrail/subset/part.py:Part.listed",
+        "whintrail/subset/assignment.py:SubsetAssignment.apply_list",
         "part_start_us, in one go",
         total=True,
     ),
@@ -1050,7 +1062,7 @@
         lambda s: s.measured("part_bytes", "engines"),
         MEMORY,
         MEMORY_NAME,
-        "whintrail/subset/part.py:Part",
+        "whintrail/subset/assignment.py:SubsetAssignment",
         "part_bytes",
     ),
 )
--- a/whintrail/scale/simulate.py
+++ b/whintrail/scale/simulate.py
@@ -24,16 +24,16 @@
 
 import click
 
-from whintrail.fleet.budget import Allowed
-from whintrail.fleet.holder import Outcome
-from whintrail.fleet.leader import Rules
-from whintrail.fleet.membership import Life
-from whintrail.fleet.node import Given
-from whintrail.fleet.wire import DONE, WantSlot, WantVersion
+from whintrail.fleet.budget import DisruptionBudget
+from whintrail.fleet.leader import LeaderRules
+from whintrail.fleet.leader_client import RequestOutcome
+from whintrail.fleet.membership import MemberState
+from whintrail.fleet.node import FleetConfig
+from whintrail.fleet.wire import DONE, SlotRequest, VersionRequest
 from whintrail.scale.results import Kind, Sample, sample, save, this_machine
 from whintrail.standins.simulated import Process, World
-from whintrail.versions.body import Body, canonical
-from whintrail.versions.member import VersionPace
+from whintrail.versions.member import VersionTiming
+from whintrail.versions.rules import Rules, canonicalize
 
 KIND: Kind = "simulated"
 HEADERS = 28  # bytes of IPv4 and UDP
@@ -117,7 +117,7 @@
 class Bounded(World):
     """Looks at its bounds while it is made and while it runs."""
 
-    def __init__(self, job: Job, given: Callable[[int, str], Given]) -> None:
+    def __init__(self, job: Job, given: Callable[[int, str], FleetConfig]) -> None:
         self.job = job
         super().__init__(given, job.gateways, job.seed, drift=0.01)
 
@@ -155,10 +155,10 @@
         found.add("build_s", "s", time.process_time() - began)
         self.changes = 0
 
-    def given(self, number: int, build: str) -> Given:
+    def given(self, number: int, build: str) -> FleetConfig:
         """Without the bound of messages a second: what would be sent is to be seen."""
         zone = number % len(ZONES)
-        return Given(
+        return FleetConfig(
             "f",
             number,
             self.count,
@@ -166,8 +166,8 @@
             build=build,
             zone=zone,
             zones=ZONES,
-            rules=Rules(Allowed(0.05, 0.1), Allowed(1.0, 1.0)),
-            versions=VersionPace(),
+            rules=LeaderRules(DisruptionBudget(0.05, 0.1), DisruptionBudget(1.0, 1.0)),
+            versions=VersionTiming(),
             messages_per_s=1e6,
             bytes_per_s=1e9,
         )
@@ -209,7 +209,7 @@
         others = [n for n in range(self.count) if n not in COUNCIL]
         watched = {n: Timed(self._process(n)) for n in (leader, *self.random.sample(others, 5))}
         before = list(self._traffic())
-        removals = sum(world.node(n).members.removals for n in world.up())
+        removals = sum(world.node(n).membership.removals for n in world.up())
         began = time.process_time()
         world.go(seconds)
         spent = time.process_time() - began
@@ -238,7 +238,7 @@
         for number, timed in watched.items():
             if number != leader:
                 self.found.add("member_cpu_share", "share", timed.spent / seconds)
-        false = sum(world.node(n).members.removals for n in world.up()) - removals
+        false = sum(world.node(n).membership.removals for n in world.up()) - removals
         self.found.add("false_removals", "count", false / (self.count * seconds / 3600))
         self.found.add("memory_mb", "MB", memory_mb())
 
@@ -253,20 +253,20 @@
 
     def bounds(self) -> None:
         """With the bounds of messages and bytes a second that a gateway has where the file says nothing."""
-        world, usual = self.world, Given("f", 0, 1, (0,))
+        world, usual = self.world, FleetConfig("f", 0, 1, (0,))
         nodes = [world.node(n) for n in world.up()]
         for node in nodes:
-            spending = node.spending
+            spending = node.send_budget
             spending.messages_per_s, spending.bytes_per_s = usual.messages_per_s, usual.bytes_per_s
         world.go(3)
-        before = [node.counts["held_back"] for node in nodes]
-        sent = [node.counts["sent"] for node in nodes]
+        before = [node.counters["held_back"] for node in nodes]
+        sent = [node.counters["sent"] for node in nodes]
         leader, unleased, looks = self.lead(), 0, 20
         for _ in range(looks):
             world.go(5 / looks)
             unleased += sum(not self._acts(n, 0) for n in world.up())
-        held = [node.counts["held_back"] - b for node, b in zip(nodes, before, strict=True)]
-        sent = [node.counts["sent"] - b for node, b in zip(nodes, sent, strict=True)]
+        held = [node.counters["held_back"] - b for node, b in zip(nodes, before, strict=True)]
+        sent = [node.counters["sent"] - b for node, b in zip(nodes, sent, strict=True)]
         note = f"bounds of {usual.messages_per_s:g} datagrams and {usual.bytes_per_s:g} bytes a second"
         share = held[leader] / max(1, held[leader] + sent[leader])
         self.found.add("held_back_share", "share", share, role="leader", day="bounds", note=note)
@@ -274,26 +274,31 @@
         leads = float(world.leader() == leader)
         self.found.add("leader_kept", "share", leads, role="leader", day="bounds", note=note)
         for node in nodes:
-            node.spending.messages_per_s, node.spending.bytes_per_s = 1e6, 1e9
+            node.send_budget.messages_per_s, node.send_budget.bytes_per_s = 1e6, 1e9
         world.go(4)
 
     # --- Changes.
 
-    def _propose(self, who: int) -> tuple[int, Body]:
+    def _propose(self, who: int) -> tuple[int, Rules]:
         """Its number, and what is in force once all act on it."""
         self.changes += 1
-        body = canonical(Body(caps={"report": self.changes}))
+        body = canonicalize(Rules(caps={"report": self.changes}))
         node = self.world.node(who)
         assert node.settings is not None
         number = node.state.versions.number + 1
-        node.wish(self.world.clock(who), WantVersion(number, node.settings.member.put(body), ""), 20, True)
+        node.submit(
+            self.world.clock(who),
+            VersionRequest(number, node.settings.member.store_rules(body), ""),
+            20,
+            True,
+        )
         return number, body
 
     def _acts(self, number: int, version: int) -> bool:
         """Whether this gateway acts on a version at least so new, and on it alone, by a lease."""
         settings = self.world.node(number).settings
         assert settings is not None
-        rule = settings.member.acting.rule(self.world.clock(number))
+        rule = settings.member.lease.active_version(self.world.clock(number))
         later = rule.number > version
         return rule.leased and (later or (rule.number == version and rule.phase is not rule.phase.ENTERING))
 
@@ -363,7 +368,7 @@
 
     def _free(self, who: int) -> bool:
         node = self.world.node(who)
-        return node.state.versions.next is None and not node.holder.wishes
+        return node.state.versions.next is None and not node.leader_client.requests
 
     # --- Slots.
 
@@ -373,15 +378,15 @@
             world.go(14)  # nobody wants reports any more: the leader knows of nobody that it serves
             self.lead()
             node, began = world.node(who), world.now
-            outcomes: list[Outcome] = []
-            node.wish(world.clock(who), WantSlot(node.birth, "old"), 30, True)
+            outcomes: list[RequestOutcome] = []
+            node.submit(world.clock(who), SlotRequest(node.boot_id, "old"), 30, True)
 
-            def answered(who: int = who, outcomes: list[Outcome] = outcomes) -> bool:
-                outcomes += world.node(who).outcomes()
+            def answered(who: int = who, outcomes: list[RequestOutcome] = outcomes) -> bool:
+                outcomes += world.node(who).take_outcomes()
                 return bool(outcomes)
 
             world.go(31, answered)
-            if outcomes and outcomes[0].word == DONE:
+            if outcomes and outcomes[0].status == DONE:
                 self.found.add("slot_s", "s", (world.now - began) / 1e6)
             else:
                 text = outcomes[0].text if outcomes else "no answer"
@@ -400,8 +405,8 @@
 
         def suspects() -> bool:
             for victim in sorted(left):
-                lives = [world.node(n).members.members[victim].life for n in world.up()]
-                if sum(life is Life.GONE for life in lives) >= known:
+                lives = [world.node(n).membership.members[victim].state for n in world.up()]
+                if sum(life is MemberState.GONE for life in lives) >= known:
                     left.discard(victim)
                     self.found.add("removal_known_s", "s", (world.now - began) / 1e6, day="losses")
             return not left
--- a/whintrail/scale/slopes.py
+++ b/whintrail/scale/slopes.py
@@ -13,9 +13,9 @@
 from whintrail.scale.deployment import Deployment
 from whintrail.scale.results import Sample, save, this_machine
 from whintrail.scale.timing import Bench, BoundError, collector, peak_mb
-from whintrail.subset.part import Part
+from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
-from whintrail.subset.telling import BATCH_US
+from whintrail.subset.report_sender import BATCH_INTERVAL_US
 
 PARTS = ("versions", "module", "list", "memos", "members", "nodes")
 ENGINES = "20,80,200,800,2000,5000,15000"
@@ -64,7 +64,7 @@
 
     def __init__(self, bench: Bench, repeats: int, say: Callable[[str], None], subset: int = 0) -> None:
         self.bench, self.repeats, self.say, self.subset = bench, repeats, say, subset
-        self.batch_us = BATCH_US
+        self.batch_us = BATCH_INTERVAL_US
         self.samples: list[Sample] = []
 
     def take(self, what: str, found: Iterator[Sample]) -> list[Sample]:
@@ -88,7 +88,7 @@
                     refresh_s *= (size / last) ** 2  # at worst: it has been seen to grow with the square
                 keep: slopes_module.Keep = slopes_module.everything
                 if self.subset:
-                    keep = Part(SubsetPlan(self.subset), deployment.settings()).listed
+                    keep = SubsetAssignment(SubsetPlan(self.subset), deployment.settings()).apply_list
                 found = slopes_module.module(deployment, self.repeats, self.bench, keep, refresh_s)
                 taken = self.take(f"module, {size} engines", found)
                 times = [one.value / 1e6 for one in taken if one.quantity == REFRESH]
@@ -136,7 +136,10 @@
 @click.option("--rate", default=20.0, show_default=True, help="Queries a second, a gateway that is played.")
 @click.option("--subset", default=0, show_default=True, help="Engines that a gateway keeps; 0: all.")
 @click.option(
-    "--batch-ms", default=BATCH_US // 1000, show_default=True, help="With --subset: memos wait so long."
+    "--batch-ms",
+    default=BATCH_INTERVAL_US // 1000,
+    show_default=True,
+    help="With --subset: memos wait so long.",
 )
 @click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="Only this; may be repeated.")
 @click.option("--repeats", type=click.IntRange(3), default=15, show_default=True)
--- a/whintrail/scale/slopes_fleet.py
+++ b/whintrail/scale/slopes_fleet.py
@@ -14,32 +14,32 @@
 from msgspec.structs import replace
 
 from whintrail.config.records import Fleet, Versions
-from whintrail.fleet.leader import EngineSeen
-from whintrail.fleet.membership import Membership, News, Pace
-from whintrail.fleet.node import Given, Node
+from whintrail.fleet.leader import EngineAvailability
+from whintrail.fleet.membership import Membership, MembershipTiming, UpdateQueue
+from whintrail.fleet.node import FleetConfig, FleetNode
 from whintrail.fleet.wire import (
     Ack,
-    LeaseAsk,
-    LeaseTell,
-    Note,
+    LeaseReply,
+    LeaseRequest,
     Ping,
+    Progress,
     decode,
     encode,
     fleet_id,
 )
-from whintrail.gateway.fleet import TURN_S, read_given
+from whintrail.gateway.fleet import TICK_INTERVAL_S, build_node_config
 from whintrail.scale.deployment import SECOND, Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.slopes_memos import HEADERS
 from whintrail.scale.timing import Bench, cpu_us, held_bytes, traced
-from whintrail.versions.body import Body
+from whintrail.versions.rules import Rules
 
-TURN_US = int(TURN_S * 1e6)
+TURN_US = int(TICK_INTERVAL_S * 1e6)
 TURNS = SECOND // TURN_US
 COUNCIL = (0, 1, 2)
 NAME = "scale"
 BEGAN = 1_000_000_000
-NOTHING = Note((0, 0, 0), 0, -1, 0)
+NOTHING = Progress((0, 0, 0), 0, -1, 0)
 INCARNATION = 5
 ELECTION_S, SETTLE_S, PLAYED_S = 20, 3, 5
 
@@ -50,10 +50,12 @@
 
 def known(count: int) -> Membership:
     """One that has heard all others and told what it had to."""
-    members = Membership(count - 1, count, birth_of(count - 1), INCARNATION, BEGAN, Random(3), Pace())
+    members = Membership(
+        count - 1, count, birth_of(count - 1), INCARNATION, BEGAN, Random(3), MembershipTiming()
+    )
     for number in range(count - 1):
-        members.heard(BEGAN, number, birth_of(number), INCARNATION, Ack(0, NOTHING, ()))
-    members.news = News()
+        members.receive(BEGAN, number, birth_of(number), INCARNATION, Ack(0, NOTHING, ()))
+    members.updates = UpdateQueue()
     return members
 
 
@@ -74,11 +76,11 @@
             began = time.process_time_ns()
             members.tick(now)
             spent += time.process_time_ns() - began
-            for target, message in members.out:
+            for target, message in members.outbox:
                 if isinstance(message, Ping):
                     answer = Ack(message.seq, NOTHING, ())
-                    members.heard(now, target, birth_of(target), INCARNATION, answer)
-            members.out.clear()
+                    members.receive(now, target, birth_of(target), INCARNATION, answer)
+            members.outbox.clear()
         return spent / 1000 / TURNS
 
     figures = []
@@ -88,8 +90,8 @@
     yield sample("membership_tick_us", "us", sizes, figures, "core")
 
     def take() -> None:
-        members.heard(now, 0, birth_of(0), INCARNATION, Ping(9, NOTHING, ()))
-        members.out.clear()
+        members.receive(now, 0, birth_of(0), INCARNATION, Ping(9, NOTHING, ()))
+        members.outbox.clear()
 
     yield sample("membership_take_us", "us", sizes, cpu_us(take, repeats, bench), "core")
 
@@ -97,22 +99,22 @@
 class Quiet:
     """What a gateway that serves and has nothing to tell says of itself."""
 
-    def __init__(self, engines: dict[str, EngineSeen]) -> None:
+    def __init__(self, engines: dict[str, EngineAvailability]) -> None:
         self.known = engines
 
     def serving_ms(self, now: int) -> int:
         return max(1, (now - BEGAN) // 1000)
 
-    def held_by(self, engine: str) -> int:
+    def open_attempts(self, engine: str) -> int:
         return 0
 
-    def counts(self) -> tuple[tuple[int, int, int, int], ...]:
+    def outcome_counts(self) -> tuple[tuple[int, int, int, int], ...]:
         return ()
 
-    def engines(self) -> dict[str, EngineSeen]:
+    def engines(self) -> dict[str, EngineAvailability]:
         return self.known
 
-    def check_body(self, body: Body) -> str:
+    def check_body(self, body: Rules) -> str:
         return ""
 
 
@@ -134,7 +136,7 @@
     def __init__(self, deployment: Deployment) -> None:
         self.count, self.now, self.random = deployment.gateways, BEGAN, Random(11)
         self.fleet = fleet_id(NAME)
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, FleetNode] = {}
         self.sent: dict[int, Traffic] = {}
         self.got: dict[int, Traffic] = {}
         self.spent_ns: Counter[int] = Counter()  # of a node: in its turns, and in all
@@ -146,16 +148,16 @@
         self.played = [n for n in range(self.count) if n not in self.nodes]
         for node in self.nodes.values():
             for number in range(self.count):
-                if number != node.given.me:
+                if number != node.config.local_number:
                     hello = encode(self.fleet, number, birth_of(number), INCARNATION, Ack(0, NOTHING, ()))
-                    node.take(self.now, number, hello)
-            node.members.news = News()
+                    node.receive(self.now, number, hello)
+            node.membership.updates = UpdateQueue()
 
-    def _node(self, deployment: Deployment, number: int) -> Node:
+    def _node(self, deployment: Deployment, number: int) -> FleetNode:
         settings = deployment.settings(number)
         file = Fleet(name=NAME, council=COUNCIL, versions=Versions())
-        given: Given = read_given(file, settings, deployment.zone_names(), self.count, "build")
-        return Node(
+        given: FleetConfig = build_node_config(file, settings, deployment.zone_names(), self.count, "build")
+        return FleetNode(
             given,
             birth_of(number),
             INCARNATION,
@@ -168,7 +170,7 @@
 
     @property
     def leader(self) -> int | None:
-        return next((n for n in COUNCIL if self.nodes[n].leads), None)
+        return next((n for n in COUNCIL if self.nodes[n].is_leader), None)
 
     def turn(self, asks: bool) -> None:
         """One turn of all. `asks`: members that are played ask for their leases and ping."""
@@ -183,15 +185,15 @@
             self.ticks_ns[number] += took
             mail += self._out(number, found)
         leader = self.leader
-        self.note = NOTHING if leader is None else self.nodes[leader].note()  # all know what is agreed
+        self.note = NOTHING if leader is None else self.nodes[leader].progress()  # all know what is agreed
         if asks and leader is not None:
             pace = self.nodes[self.last].settings
             assert pace is not None
-            part = TURN_US / pace.pace.ask_us
+            part = TURN_US / pace.timing.renew_interval_us
             for number in self.played:
                 if self.random.random() < part:
                     stamp = self.now // 1000 & 0xFFFFFFFF
-                    mail.append((number, leader, self._letter(number, LeaseAsk(stamp, 0, False, 0, ""))))
+                    mail.append((number, leader, self._letter(number, LeaseRequest(stamp, 0, False, 0, ""))))
                 target = self.random.randrange(self.count)  # in a period each pings one other
                 if target in self.nodes and self.random.random() < TURN_US / SECOND:
                     mail.append((number, target, self._letter(number, Ping(1, self.note, ()))))
@@ -204,7 +206,7 @@
                     later += self._played(origin, target, data)
             mail = later
 
-    def _letter(self, number: int, message: Ack | Ping | LeaseAsk) -> bytes:
+    def _letter(self, number: int, message: Ack | Ping | LeaseRequest) -> bytes:
         return encode(self.fleet, number, birth_of(number), INCARNATION, message)
 
     def _out(self, origin: int, found: list[tuple[int | None, bytes]]) -> list[tuple[int, int, bytes]]:
@@ -222,7 +224,7 @@
     def _take(self, origin: int, target: int, data: bytes) -> list[tuple[int, int, bytes]]:
         self.got[target].add(type(decode(self.fleet, data).message).__name__, len(data))
         node, began = self.nodes[target], time.process_time_ns()
-        node.take(self.now, origin, data)
+        node.receive(self.now, origin, data)
         found = node.flush(self.now)
         self.spent_ns[target] += time.process_time_ns() - began
         return self._out(target, found)
@@ -245,8 +247,8 @@
             self.turn(asks=False)
             leader = self.leader
             if leader is not None:
-                council = self.nodes[leader].council
-                if council is not None and council.surely_leads(self.now):
+                council = self.nodes[leader].consensus
+                if council is not None and council.has_leader_lease(self.now):
                     return leader
         raise RuntimeError(f"no leader within {ELECTION_S} s of simulated time")
 
@@ -270,7 +272,7 @@
         traffic.datagrams.clear()
         traffic.bytes.clear()
     for number in played.nodes:
-        played.nodes[number].counts.clear()
+        played.nodes[number].counters.clear()
     shares: dict[int, list[float]] = {leader: [], member: []}
     for _ in range(PLAYED_S):
         spent, slow = dict(played.spent_ns), bench.slower()
@@ -287,12 +289,12 @@
             sample("node_tick_us", "us", sizes, _ticks(played, number, repeats, bench), "core"), role=role
         )
         node = played.nodes[number]
-        ask = played._letter(played.played[0], LeaseAsk(played.now // 1000 & 0xFFFFFFFF, 0, False, 0, ""))
+        ask = played._letter(played.played[0], LeaseRequest(played.now // 1000 & 0xFFFFFFFF, 0, False, 0, ""))
         ping = played._letter(played.played[0], Ping(1, played.note, ()))
         data = ask if number == leader else ping
 
-        def take(node: Node = node, data: bytes = data) -> None:
-            node.take(played.now, played.played[0], data)
+        def take(node: FleetNode = node, data: bytes = data) -> None:
+            node.receive(played.now, played.played[0], data)
             node.flush(played.now)
 
         yield replace(sample("node_take_us", "us", sizes, cpu_us(take, repeats, bench), "core"), role=role)
@@ -323,7 +325,7 @@
 
     asked, told = played.got[leader], played.sent[leader]
     own = played.sent[played.last]
-    ask, tell = LeaseAsk.__name__, LeaseTell.__name__
+    ask, tell = LeaseRequest.__name__, LeaseReply.__name__
     yield one("lease_asks_per_s", "datagrams/s", own.datagrams[ask] / PLAYED_S, "gateway")
     yield one("lease_ask_bytes", "bytes", own.bytes[ask] / max(1, own.datagrams[ask]), "gateway")
     yield one("lease_tell_bytes", "bytes", told.bytes[tell] / max(1, told.datagrams[tell]), "leader")
@@ -333,7 +335,7 @@
     yield one("leader_lease_answered", "share", rates[1] / max(1e-9, rates[0]), "leader")
     wanted = asked.bytes[ask] + told.bytes[tell] / max(1e-9, rates[1]) * rates[0]
     yield one("leader_lease_bytes_per_s", "bytes/s", wanted / PLAYED_S, "leader")
-    held_back = played.nodes[leader].counts["held_back"] / PLAYED_S
+    held_back = played.nodes[leader].counters["held_back"] / PLAYED_S
     yield one("leader_held_back_per_s", "datagrams/s", held_back, "leader")
     for number, role in ((leader, "leader"), (played.last, "gateway")):
         both = [played.sent[number], played.got[number]]
--- a/whintrail/scale/slopes_memos.py
+++ b/whintrail/scale/slopes_memos.py
@@ -12,13 +12,13 @@
 from random import Random
 
 from whintrail import interface as api
-from whintrail.brain import SWEEP, SWEEP_US, Gateway
+from whintrail.routing import SWEEP_INTERVAL_US, SWEEP_TIMER, RoutingPolicy
 from whintrail.scale.deployment import SECOND, Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.timing import Bench
-from whintrail.subset.part import Part
+from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
-from whintrail.subset.telling import BATCH_US, TURNS, Telling
+from whintrail.subset.report_sender import BATCH_INTERVAL_US, SLOTS_PER_BATCH, ProbeReportSender
 
 HEADERS = 28  # bytes of IPv4 and UDP in front of each datagram
 SETTLE_US, COUNT_US = 6 * SECOND, 10 * SECOND
@@ -44,10 +44,10 @@
     rate: float
     seed: int
     subset: int = 0
-    batch_us: int = BATCH_US
+    batch_us: int = BATCH_INTERVAL_US
     now: int = 0
-    modules: list[Gateway] = field(default_factory=list)
-    tellings: list[Telling] = field(default_factory=list)  # where each keeps a part
+    modules: list[RoutingPolicy] = field(default_factory=list)
+    tellings: list[ProbeReportSender] = field(default_factory=list)  # where each keeps a part
     counts: list[Heard] = field(default_factory=list)
     queue: list[tuple[int, int, Callable[[], None]]] = field(default_factory=list)
     numbered: int = 0
@@ -64,18 +64,20 @@
         listed = self.deployment.listed(api.ListKind.CACHED)
         self.running = dict.fromkeys(self.deployment.names(), 0)
         for me in range(self.deployment.gateways):
-            module = Gateway(self.deployment.settings(me), self.seed * 1000 + me, self.now)
+            module = RoutingPolicy(self.deployment.settings(me), self.seed * 1000 + me, self.now)
             self.modules.append(module)
             self.counts.append(Heard())
             module.start()
             if self.subset:
-                part = Part(SubsetPlan(self.subset), module.settings)
-                self.tellings.append(Telling(part, me, self.batch_us))
-                module.handle(self.now, part.listed(listed) or listed)
-                self.at(self.now + self.random.randrange(self.batch_us // TURNS), partial(self.turn, me))
+                part = SubsetAssignment(SubsetPlan(self.subset), module.settings)
+                self.tellings.append(ProbeReportSender(part, me, self.batch_us))
+                module.handle(self.now, part.apply_list(listed) or listed)
+                self.at(
+                    self.now + self.random.randrange(self.batch_us // SLOTS_PER_BATCH), partial(self.turn, me)
+                )
             else:
                 module.handle(self.now, listed)
-            self.at(self.now + self.random.randrange(SWEEP_US), partial(self.sweep, me))
+            self.at(self.now + self.random.randrange(SWEEP_INTERVAL_US), partial(self.sweep, me))
             self.at(self.now + self.pause(), partial(self.ask, me))
 
     def pause(self) -> int:
@@ -96,16 +98,16 @@
     def tell(self, me: int, event: api.Event) -> None:
         for action in self.modules[me].handle(self.now, event):
             match action:
-                case api.Send(query, engine):
+                case api.SendAttempt(query, engine):
                     self.running[engine] += 1
                     took = int(self.random.expovariate(1.0) * 30_000)
                     self.at(self.now + took, partial(self.answer, me, query, engine, took))
                 case api.SendProbe(engine):
                     self.counts[me].probes += 1
                     self.at(self.now + PROBE_US, partial(self.probed, me, engine))
-                case api.TellPeer(None, payload) if self.tellings:
-                    self.tellings[me].add(self.now, payload)
-                case api.TellPeer(None, payload):
+                case api.SendPeerMessage(None, payload) if self.tellings:
+                    self.tellings[me].enqueue(self.now, payload)
+                case api.SendPeerMessage(None, payload):
                     self.counts[me].told += len(self.modules) - 1
                     self.counts[me].told_bytes += (len(payload) + HEADERS) * (len(self.modules) - 1)
                     self.at(self.now + DATAGRAM_US, partial(self.hear, me, payload))
@@ -113,8 +115,8 @@
                     pass
 
     def sweep(self, me: int) -> None:
-        self.tell(me, api.TimerFired(SWEEP))
-        self.at(self.now + SWEEP_US, partial(self.sweep, me))
+        self.tell(me, api.TimerFired(SWEEP_TIMER))
+        self.at(self.now + SWEEP_INTERVAL_US, partial(self.sweep, me))
 
     def ask(self, me: int) -> None:
         self.asked += 1
@@ -128,31 +130,31 @@
 
     def answer(self, me: int, query: int, engine: str, took: int) -> None:
         self.running[engine] -= 1
-        number = next((n for q, n in self.modules[me].out if q == query), None)
+        number = next((n for q, n in self.modules[me].in_flight if q == query), None)
         if number is not None:
-            ended = api.AttemptEnded(query, number, engine, api.Outcome.OK, took, True, None, None, None)
+            ended = api.AttemptFinished(query, number, engine, api.Outcome.OK, took, True, None, None, None)
             self.tell(me, ended)
 
     def probed(self, me: int, engine: str) -> None:
         held = self.running[engine]
         report = api.LoadReport(min(1.0, held / 16), float(held))
-        self.tell(me, api.ProbeEnded(engine, api.Outcome.OK, PROBE_US, report))
+        self.tell(me, api.ProbeFinished(engine, api.Outcome.OK, PROBE_US, report))
 
     def turn(self, me: int) -> None:
         """What is due goes to those that keep its engines."""
-        for target, payload in self.tellings[me].due(self.now):
+        for target, payload in self.tellings[me].due_datagrams(self.now):
             self.counts[me].told += 1
             self.counts[me].told_bytes += len(payload) + HEADERS
             self.at(self.now + DATAGRAM_US, partial(self.reach, me, target, payload))
-        self.at(self.now + self.batch_us // TURNS, partial(self.turn, me))
+        self.at(self.now + self.batch_us // SLOTS_PER_BATCH, partial(self.turn, me))
 
     def reach(self, origin: int, target: int, payload: bytes) -> None:
         self.counts[target].datagrams += 1
         self.counts[target].bytes += len(payload) + HEADERS
-        self.tell(target, api.PeerTold(origin, payload))
+        self.tell(target, api.PeerMessageReceived(origin, payload))
 
     def hear(self, origin: int, payload: bytes) -> None:
-        event = api.PeerTold(origin, payload)
+        event = api.PeerMessageReceived(origin, payload)
         for me, counts in enumerate(self.counts):
             if me != origin:
                 counts.datagrams += 1
@@ -166,7 +168,7 @@
     seed: int,
     bench: Bench,
     subset: int = 0,
-    batch_us: int = BATCH_US,
+    batch_us: int = BATCH_INTERVAL_US,
 ) -> Iterator[Sample]:
     """Datagrams and bytes a second that a gateway hears, and sends, of memos; its probes a second. `rate`:
     queries a second at each gateway at least, raised where they would not pay for its part of the probes."""
