--- a/whintrail/scale/slopes_module.py
+++ b/whintrail/scale/slopes_module.py
@@ -10,23 +10,25 @@
 from msgspec.structs import replace
 
 from whintrail import interface as api
-from whintrail.brain import REFRESH_US, SWEEP, SWEEP_US, Gateway
-from whintrail.fleet import memo
-from whintrail.fleet.overlay import Overlay
-from whintrail.gateway.bulletin import read_listed
+from whintrail.fleet import probe_reports
+from whintrail.fleet.drain_overlay import DrainOverlay
+from whintrail.gateway.bulletin import read_list_update
 from whintrail.gateway.clock import Clock
 from whintrail.gateway.counters import Counters
-from whintrail.gateway.fleet import FleetPart
+from whintrail.gateway.dispatcher import EngineListUpdate, Inbox
+from whintrail.gateway.fleet import FleetService
 from whintrail.gateway.limits import Limits
-from whintrail.gateway.links import Links
+from whintrail.gateway.links import LinkPool
 from whintrail.gateway.log import Log
-from whintrail.gateway.owner import Inbox, Listed
+from whintrail.routing import SWEEP_INTERVAL_US, SWEEP_TIMER, WEIGHT_REFRESH_INTERVAL_US, RoutingPolicy
 from whintrail.scale.deployment import SECOND, Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.timing import Bench, cpu_us, held_bytes
-from whintrail.versions.lists import Lists
+from whintrail.versions.engine_list import EngineListState
 
-Keep = Callable[[api.EngineList], api.EngineList | None]  # what of a list reaches the module; None: nothing
+Keep = Callable[
+    [api.EngineListReceived], api.EngineListReceived | None
+]  # what of a list reaches the module; None: nothing
 SWEEPS = 4  # a round: one of them looks whom to probe
 # Queries by the engine: what is out at a time, and what comes between two sweeps. More would be a jam, as
 # each of the other gateways is taken to send as much.
@@ -37,7 +39,7 @@
 MOST_FIGURE_S = 4.0  # a figure that is foretold to take longer is left out
 
 
-def everything(event: api.EngineList) -> api.EngineList:
+def everything(event: api.EngineListReceived) -> api.EngineListReceived:
     return event
 
 
@@ -47,7 +49,7 @@
     def __init__(self, deployment: Deployment, keep: Keep = everything) -> None:
         self.deployment, self.keep = deployment, keep
         self.now, self.asked, self.heard_at = deployment.started_ms * 1000 + 3_600 * SECOND, 0, 0
-        self.module = Gateway(deployment.settings(), 7, self.now)
+        self.module = RoutingPolicy(deployment.settings(), 7, self.now)
         self.module.start()
         self.listed(deployment.listed(api.ListKind.CACHED))
         self.hear()
@@ -55,7 +57,7 @@
     def tell(self, event: api.Event) -> list[api.Action]:
         return self.module.handle(self.now, event)
 
-    def listed(self, event: api.EngineList) -> None:
+    def listed(self, event: api.EngineListReceived) -> None:
         if (kept := self.keep(event)) is not None:
             self.tell(kept)
 
@@ -64,7 +66,7 @@
         self.heard_at = self.now
         for place, name in enumerate(list(self.module.engines)):
             report = api.LoadReport(0.2 + place % 7 / 20, 2.0 + place % 5)
-            self.tell(api.ProbeEnded(name, api.Outcome.OK, 500, report))
+            self.tell(api.ProbeFinished(name, api.Outcome.OK, 500, report))
 
     def ask(self) -> tuple[int, list[api.Action]]:
         """A query of one class or another, as often as it comes among others."""
@@ -80,8 +82,8 @@
     def end(self, query: int, actions: list[api.Action]) -> None:
         """The engine answers at once."""
         for action in actions:
-            if isinstance(action, api.Send) and action.query == query:
-                ended = api.AttemptEnded(
+            if isinstance(action, api.SendAttempt) and action.query == query:
+                ended = api.AttemptFinished(
                     query, 0, action.engine, api.Outcome.OK, 9_000, True, None, None, None
                 )
                 self.tell(ended)
@@ -103,20 +105,20 @@
         """As after a while of work: each engine has answered, one a little slower than the other."""
         random = Random(5)
         for engine in self.module.engines.values():
-            engine.stretch = random.lognormvariate(0.0, 0.1)
+            engine.latency_ratio = random.lognormvariate(0.0, 0.1)
 
     def sweep(self) -> None:
         """A round of sweeps; what is to be probed answers."""
         for _ in range(SWEEPS):
-            self.now += SWEEP_US
+            self.now += SWEEP_INTERVAL_US
             self.module.refreshed_at = self.now
-            self.tell(api.TimerFired(SWEEP))
+            self.tell(api.TimerFired(SWEEP_TIMER))
 
     def settle(self) -> None:
         """Between two rounds: what was probed answers, queries come and go."""
         for name, engine in self.module.engines.items():
-            if engine.probing:
-                self.tell(api.ProbeEnded(name, api.Outcome.OK, 500, api.LoadReport(0.3, 3.0)))
+            if engine.probe_in_flight:
+                self.tell(api.ProbeFinished(name, api.Outcome.OK, 500, api.LoadReport(0.3, 3.0)))
         self.serve(max(1, min(MOST_SERVED, int(SERVED * len(self.module.engines)))))
         if self.now - self.heard_at > FRESH_US:
             self.hear()
@@ -145,9 +147,9 @@
     alone.pass_time(2 * FRESH_US)
 
     def due() -> None:
-        alone.pass_time(REFRESH_US, refresh=True)
+        alone.pass_time(WEIGHT_REFRESH_INTERVAL_US, refresh=True)
 
-    yield took("module_refresh_unused_us", alone.module._refresh, before=due, alone=True)
+    yield took("module_refresh_unused_us", alone.module._refresh_weights, before=due, alone=True)
     for _ in range(max(1, min(MOST_OPEN, int(OPEN * kept)))):
         alone.ask()
         alone.pass_time(min(MOST_APART_US, APART_US // kept))
@@ -157,7 +159,7 @@
 
     def stale() -> None:
         alone.pass_time(min(MOST_APART_US, APART_US // kept))
-        alone.module.sums = None
+        alone.module.cumulative_weights = None
 
     latest: list[tuple[int, list[api.Action]]] = []
 
@@ -172,7 +174,7 @@
     yield took("module_query_us", arrive, before=clear, alone=True)
 
     def choose() -> object:
-        return alone.module._choose(alone.module.queries[latest[-1][0]], None)
+        return alone.module._choose_engine(alone.module.queries[latest[-1][0]], None)
 
     def arrived() -> None:
         clear()
@@ -182,29 +184,35 @@
     yield took("module_ended_us", lambda: alone.end(*latest[-1]), before=arrived, alone=True)
 
     states, one = ["leaving", "active"], deployment.names().index(min(alone.module.engines))
-    entries = [api.EngineList(api.ListKind.DELTA, (deployment.entry(one, state),)) for state in states]
+    entries = [
+        api.EngineListReceived(api.ListKind.DELTA, (deployment.entry(one, state),)) for state in states
+    ]
     deltas = iter(range(1 << 60))
     yield took("module_list_delta_us", lambda: alone.listed(entries[next(deltas) % 2]))
     whole = deployment.listed()
     yield took("module_list_whole_us", lambda: alone.listed(whole), alone=True)
     told = [
-        memo.encode([memo.Sighting(memo.key_of(name), 0, api.LoadReport(0.3, 4.0), 8.0)])
+        probe_reports.encode(
+            [probe_reports.ProbeReport(probe_reports.engine_key(name), 0, api.LoadReport(0.3, 4.0), 8.0)]
+        )
         for name in list(alone.module.engines)[:64]
     ]
     memos = iter(range(1 << 60))
-    yield took("module_memo_us", lambda: alone.tell(api.PeerTold(1, told[next(memos) % len(told)])))
+    yield took(
+        "module_memo_us", lambda: alone.tell(api.PeerMessageReceived(1, told[next(memos) % len(told)]))
+    )
 
     listed = {entry.engine: entry for entry in whole.entries}  # kept or not, the fleet counts them all
     owner = SimpleNamespace(module=alone.module, listed_engines=lambda: listed)
-    seen = cast(FleetPart, SimpleNamespace(owner=owner, drained=frozenset()))
-    engines = took("leader_engines_us", lambda: FleetPart.engines(seen))
+    seen = cast(FleetService, SimpleNamespace(owner=owner, drained=frozenset()))
+    engines = took("leader_engines_us", lambda: FleetService.engines(seen))
     yield replace(engines, role="leader")
     if refresh_s < MOST_FIGURE_S:
         alone.pass_time(0)  # a list's event has the next refresh forget how engines fared
         alone.use_all()
-        first = cpu_us(alone.module._refresh, 1, bench, before=due, alone=True)[0]
+        first = cpu_us(alone.module._refresh_weights, 1, bench, before=due, alone=True)[0]
         fewer = max(3, min(repeats, int(5e6 / max(1.0, first))))
-        figures = cpu_us(alone.module._refresh, fewer, bench, before=due, alone=True)
+        figures = cpu_us(alone.module._refresh_weights, fewer, bench, before=due, alone=True)
         yield sample("module_refresh_us", "us", sizes, figures, "core")
 
 
@@ -217,9 +225,9 @@
 
     line = deployment.whole_line()
     yield sample("list_line_bytes", "bytes", sizes, [float(len(line))], "core")
-    yield took("list_read_whole_us", lambda: read_listed(orjson.loads(line), log, False), alone=True)
+    yield took("list_read_whole_us", lambda: read_list_update(orjson.loads(line), log, False), alone=True)
     delta = deployment.line(2, [deployment.item(0, "leaving")], False)
-    yield took("list_read_delta_us", lambda: read_listed(orjson.loads(delta), log, False))
+    yield took("list_read_delta_us", lambda: read_list_update(orjson.loads(delta), log, False))
     yield from asyncio.run(_updates(deployment, repeats, bench, line, delta))
 
 
@@ -227,16 +235,16 @@
     deployment: Deployment, repeats: int, bench: Bench, line: bytes, delta: bytes
 ) -> list[Sample]:
     sizes, log, limits = (deployment.gateways, deployment.engines), Log("scale", 1.0, 1.0), Limits.read({})
-    links = Links(limits, Inbox(Clock()), Counters(), log, None, False)
-    lists, overlay = Lists(3_000_000), Overlay()
-    part = cast(FleetPart, SimpleNamespace(lists=lists))
+    links = LinkPool(limits, Inbox(Clock()), Counters(), log, None, False)
+    lists, overlay = EngineListState(3_000_000), DrainOverlay()
+    part = cast(FleetService, SimpleNamespace(lists=lists))
 
-    def update(listed: Listed) -> None:
-        links.update(listed)
-        FleetPart._listed(part, listed)
-        overlay.listed(listed.event)
+    def update(listed: EngineListUpdate) -> None:
+        links.apply_engine_list(listed)
+        FleetService._on_engine_list(part, listed)
+        overlay.apply_list(listed.event)
 
-    whole, one = (read_listed(orjson.loads(text), log, False) for text in (line, delta))
+    whole, one = (read_list_update(orjson.loads(text), log, False) for text in (line, delta))
 
     def digest() -> int:
         lists._digest = None  # as after each event of the list
@@ -253,11 +261,11 @@
             )
         ]
     finally:
-        links.sweeper.cancel()
+        links.sweep_task.cancel()
 
 
 def keys_shared(deployment: Deployment) -> Sample:
     """The share of engines whose 16 bits are another's too: nobody tells of them."""
-    told = memo.keys_of(deployment.names())
+    told = probe_reports.engines_by_key(deployment.names())
     share = 1 - len(told) / max(1, deployment.engines)
     return sample("memo_keys_shared", "share", (deployment.gateways, deployment.engines), [share], "core")
--- a/whintrail/scale/slopes_versions.py
+++ b/whintrail/scale/slopes_versions.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from whintrail.brain import Gateway
-from whintrail.fleet.node import RETELLS
-from whintrail.fleet.state import Enter, Propose, Settle
-from whintrail.fleet.wire import BodyPiece, BodyPull, Entry, Told, size
+from whintrail.fleet.node import REBROADCASTS
+from whintrail.fleet.state import EnterVersion, ProposeVersion, SettleVersion
+from whintrail.fleet.wire import BodyChunk, BodyRequest, CommittedEntries, Entry, datagram_size
+from whintrail.routing import RoutingPolicy
 from whintrail.scale.deployment import Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.slopes_memos import HEADERS
-from whintrail.versions.body import MOST_BYTES, Body, canonical, digest, encode
-from whintrail.versions.parts import PIECE
+from whintrail.versions.rules import MAX_RULES_BYTES, Rules, canonicalize, digest, encode
+from whintrail.versions.store import PIECE_BYTES
 
 SHUT = 0.01  # of the engines, in the body that is weighed
 LOG, TERM = 100_000, 40  # how far the log may be
@@ -23,12 +23,12 @@
     """Bytes of one change: its three entries in the log, and told to one gateway as the leader tells them."""
     sizes = deployment.gateways, 0
     number = deployment.gateways
-    proposed = Entry(LOG, TERM, Propose(LOG, 1 << 62, number, WHY, 1 << 41))
-    entries = [proposed, Entry(LOG + 1, TERM, Enter(LOG)), Entry(LOG + 2, TERM, Settle(LOG))]
+    proposed = Entry(LOG, TERM, ProposeVersion(LOG, 1 << 62, number, WHY, 1 << 41))
+    entries = [proposed, Entry(LOG + 1, TERM, EnterVersion(LOG)), Entry(LOG + 2, TERM, SettleVersion(LOG))]
     held = sum(len(msgspec.msgpack.encode(entry)) for entry in entries)
     yield sample("log_bytes", "bytes", sizes, [float(held)], "core")
-    told = [Told(1 << 40, entry.index - 1, 1 << 31, number, (entry,)) for entry in entries]
-    wire = sum(RETELLS * (size(message) + HEADERS) for message in told)
+    told = [CommittedEntries(1 << 40, entry.index - 1, 1 << 31, number, (entry,)) for entry in entries]
+    wire = sum(REBROADCASTS * (datagram_size(message) + HEADERS) for message in told)
     yield sample("log_told_bytes", "bytes", sizes, [float(wire)], "core")
 
 
@@ -37,20 +37,22 @@
     where it is longer than a body may be."""
     sizes = deployment.gateways, deployment.engines
     shut = tuple(deployment.names()[:: int(1 / SHUT)])
-    data = msgspec.msgpack.encode(canonical(Body(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900})))
+    data = msgspec.msgpack.encode(
+        canonicalize(Rules(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900}))
+    )
     yield sample("version_body_bytes", "bytes", sizes, [float(len(data))], "core")
-    if len(data) > MOST_BYTES:
+    if len(data) > MAX_RULES_BYTES:
         return
-    body = encode(Body(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900}))
-    key, parts = digest(body), -(-len(body) // PIECE)
+    body = encode(Rules(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900}))
+    key, parts = digest(body), -(-len(body) // PIECE_BYTES)
     wire = 0
     for part in range(parts):
-        piece = BodyPiece(key, part, parts, body[part * PIECE : (part + 1) * PIECE])
-        wire += size(BodyPull(key, part)) + size(piece) + 2 * HEADERS
+        piece = BodyChunk(key, part, parts, body[part * PIECE_BYTES : (part + 1) * PIECE_BYTES])
+        wire += datagram_size(BodyRequest(key, part)) + datagram_size(piece) + 2 * HEADERS
     yield sample("version_body_fetch_bytes", "bytes", sizes, [float(wire)], "core")
 
 
 def cold_part(deployment: Deployment) -> Sample:
     """The part of a cold engine's budget that one gateway may use at its start."""
-    share = Gateway(deployment.settings(), 1, 0).share
+    share = RoutingPolicy(deployment.settings(), 1, 0).work_share
     return sample("cold_part", "share", (deployment.gateways, 0), [share], "core")
--- a/whintrail/scale/ways.py
+++ b/whintrail/scale/ways.py
@@ -24,7 +24,7 @@
 
 from whintrail import interface as api
 from whintrail.scale.results import Sample, sample, save, this_machine
-from whintrail.subset.part import Part
+from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
 
 Ints = NDArray[np.int64]
@@ -237,58 +237,60 @@
         api.EngineEntry(f"10.0.{n >> 8}.{n & 255}:7000", "k", f"z{n % ZONES}", n // 570, 1.0, READY, None)
         for n in range(engines)
     )
-    whole = api.EngineList(api.ListKind.FULL, entries)
+    whole = api.EngineListReceived(api.ListKind.FULL, entries)
     starts, deltas, size = list[float](), list[float](), list[float]()
     for turn in range(5):
         if not turn:
             tracemalloc.start()
         began = time.process_time()
-        part = Part(SubsetPlan(size=keep), given(gateways, gateways // 3, None))
-        part.listed(whole)
+        part = SubsetAssignment(SubsetPlan(size=keep), given(gateways, gateways // 3, None))
+        part.apply_list(whole)
         if turn:
             starts.append((time.process_time() - began) * 1e6)
         else:
             size.append(float(tracemalloc.get_traced_memory()[0]))
             tracemalloc.stop()
         for entry in entries[turn :: len(entries) // 40] if turn else ():
-            for state in (api.EngineState.GONE, READY):
-                change = api.EngineList(api.ListKind.DELTA, (replace(entry, state=state),))
+            for state in (api.EngineState.REMOVED, READY):
+                change = api.EngineListReceived(api.ListKind.DELTA, (replace(entry, state=state),))
                 began = time.process_time()
-                part.listed(change)
+                part.apply_list(change)
                 deltas.append((time.process_time() - began) * 1e6)
     found = [
         sample("part_start_us", "us", (gateways, engines), starts, "core"),
         sample("part_delta_us", "us", (gateways, engines), deltas, "core"),
         sample("part_bytes", "bytes", (gateways, engines), size, "core"),
     ]
-    kinds = {"free": None, "keyed_zone": api.DedupGroup.ZONE, "keyed_cell": api.DedupGroup.CELL}
+    kinds = {"free": None, "keyed_zone": api.DedupScope.ZONE, "keyed_cell": api.DedupScope.CELL}
     for text, group in kinds.items():
         sizes, holders = list[float](), list[float]()
         for me in range(0, gateways, gateways // 40):
-            part = Part(SubsetPlan(size=keep), given(gateways, me, group))
-            part.listed(whole)
-            sizes.append(float(len(part.shown)))
-            holders += [float(count or gateways) for count, _ in part.shown.values()]
+            part = SubsetAssignment(SubsetPlan(size=keep), given(gateways, me, group))
+            part.apply_list(whole)
+            sizes.append(float(len(part.kept)))
+            holders += [float(count or gateways) for count, _ in part.kept.values()]
         found.append(sample(f"part_engines_{text}", "count", (gateways, engines), sizes, "core"))
         found.append(sample(f"part_holders_{text}", "count", (gateways, engines), holders, "core"))
-    return [msgspec.structs.replace(one, subset=keep, note="whintrail.subset.part.Part") for one in found]
+    return [
+        msgspec.structs.replace(one, subset=keep, note="whintrail.subset.assignment.Part") for one in found
+    ]
 
 
-def given(gateways: int, me: int, group: api.DedupGroup | None) -> api.Settings:
+def given(gateways: int, me: int, group: api.DedupScope | None) -> api.Settings:
     """Settings that leave a `Part` nothing to heed but the fleet and, perhaps, one keyed class."""
     keyed = api.QueryClass(
-        name="keyed", aim_us=1, aim_stretch=1.0, deadline_us=1, effect=api.Effect.BY_KEY,
-        group=group or api.DedupGroup.ALL, window_us=1, worth=1.0, late_share=0.0, in_order=False, zones=None,
-        kinds=None, threads=1, is_load=False, waits_for_load=False,
+        name="keyed", target_latency_us=1, target_latency_ratio=1.0, deadline_us=1, effect=api.Effect.BY_KEY,
+        dedup_scope=group or api.DedupScope.ALL, dedup_window_us=1, worth=1.0, late_share=0.0, ordered_by_key=False, zones=None,
+        kinds=None, threads=1, is_load=False, blocked_by_loads=False,
     )  # fmt: skip
     return api.Settings(
-        fleet_size=gateways, me=me, zone="z0", classes=(keyed,), tenants=(), kind_cores={},
-        kind_memory_mb={}, max_grant_share=1, grants_heeded=False, priorities_heeded=False, tells_cost=False,
-        progress_us=0, reports_by=api.ReportsBy.PROBES, probes_allowed=True, cancel_allowed=True,
-        second_copies=False, peers_allowed=True, retry_after=True, max_retry_after_us=0, max_attempts=None,
-        max_open=None, keepalive_us=0, tick_us=5000, list_on_request=False, must_ask_us=None, cold_us=0,
-        start_capacity=1.0, tip_multiple=None, tip_after_us=0, order_settle_us=0, budget_share=None,
-        budget_free=0.0, budget_window_us=0, price_cross_zone=0.0,
+        fleet_size=gateways, local_number=me, zone="z0", classes=(keyed,), tenants=(), kind_cores={},
+        kind_memory_mb={}, max_memory_grant_share=1, memory_grants_honored=False, priorities_honored=False, reports_cost=False,
+        progress_interval_us=0, report_source=api.ReportSource.PROBES, probes_allowed=True, cancel_allowed=True,
+        concurrent_attempts_allowed=False, peer_messages_allowed=True, retry_after=True, max_retry_after_us=0, max_attempts=None,
+        max_open=None, keepalive_us=0, tick_us=5000, list_on_request=False, max_list_age_us=None, warmup_us=0,
+        initial_capacity_share=1.0, overload_multiple=None, overload_window_us=0, order_settle_us=0, retry_budget_ratio=None,
+        retry_budget_free=0.0, retry_budget_window_us=0, cross_zone_price=0.0,
     )  # fmt: skip
 
 
--- a/whintrail/standins/explore.py
+++ b/whintrail/standins/explore.py
@@ -11,20 +11,22 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from whintrail.fleet.council import Council, CouncilPace, Role
-from whintrail.fleet.state import Free, Noop
+from whintrail.fleet.consensus import Consensus, ConsensusTiming, Role
+from whintrail.fleet.state import FreeSlot, Noop
 from whintrail.fleet.wire import (
-    Append,
-    AppendTell,
+    AppendEntries,
+    AppendReply,
     Entry,
     Message,
     Position,
-    RecoverTell,
-    VoteAsk,
-    VoteTell,
+    RecoveryReply,
+    VoteReply,
+    VoteRequest,
 )
 
-FROZEN = CouncilPace(beat_us=0, election_us=0, spread_us=1, recover_us=0, quarantine_us=1 << 60)
+FROZEN = ConsensusTiming(
+    heartbeat_us=0, election_timeout_us=0, election_jitter_us=1, recovery_interval_us=0, quarantine_us=1 << 60
+)
 
 
 class Draws(Random):
@@ -72,50 +74,50 @@
         return found
 
 
-def council_key(c: Council) -> Key:
+def council_key(c: Consensus) -> Key:
     """Equal for members that will do the same."""
     return (
-        c.birth,
+        c.boot_id,
         c.role,
         c.epoch,
         c.term,
         c.leader,
-        c.voted,
-        c.log.base,
+        c.voted_for,
+        c.log.snapshot_position,
         tuple(c.log.entries),
-        c.log.commit,
+        c.log.commit_index,
         c.nonce,
-        tuple(sorted(c.told.items())),
-        c.target,
+        tuple(sorted(c.recovery_replies.items())),
+        c.recovery_target,
         c.ballot,
         tuple(sorted(c.votes)),
-        tuple(sorted(c.match.items())),
-        tuple(sorted(c.next.items())),
-        tuple(sorted(c.births.items())),
-        tuple(sorted(c.views.items())),
-        c.lacking,
-        c.missed,
+        tuple(sorted(c.match_index.items())),
+        tuple(sorted(c.next_index.items())),
+        tuple(sorted(c.boot_ids.items())),
+        tuple(sorted(c.boot_id_views.items())),
+        c.snapshot_peer,
+        c.rejected_index,
     )
 
 
 class Table:
     """A state of all: the members, what is on its way, and what was ever decided."""
 
-    def __init__(self, count: int, kind: type[Council] = Council) -> None:
+    def __init__(self, count: int, kind: type[Consensus] = Consensus) -> None:
         self.count, self.kind, self.births = count, kind, 0
         self.draws, self.post = Draws(), Post()
         self.decided: dict[tuple[int, int], Entry] = {}  # by epoch and index
         self.leaders: dict[tuple[int, int], tuple[int, int]] = {}  # by epoch and term: number and birth
         self.mail: frozenset[int] = frozenset()
         self.wrong = ""
-        self.members: list[Council] = []
+        self.members: list[Consensus] = []
         self.keys: list[Key] = []
         self.heights: list[Position] = [(0, 0, 0)] * count
         for number in range(count):
             self.members.append(self._new(number))
             self.keys.append(council_key(self.members[number]))
 
-    def _new(self, number: int) -> Council:
+    def _new(self, number: int) -> Consensus:
         self.births += 1
         members = tuple(range(self.count))
         council = self.kind(
@@ -132,12 +134,12 @@
         self._wire(number, council)
         return council
 
-    def _wire(self, number: int, council: Council) -> None:
+    def _wire(self, number: int, council: Consensus) -> None:
         council.random = self.draws
-        council.decide = lambda entry: self._decide(number, council, entry)
-        council.known = lambda: self.heights[number]
+        council.on_commit = lambda entry: self._decide(number, council, entry)
+        council.known_position = lambda: self.heights[number]
 
-    def _decide(self, number: int, council: Council, entry: Entry) -> None:
+    def _decide(self, number: int, council: Consensus, entry: Entry) -> None:
         self.heights[number] = (council.epoch, entry.term, entry.index)
         before = self.decided.setdefault((council.epoch, entry.index), entry)
         if before != entry:
@@ -153,7 +155,7 @@
         other.members = list(self.members)
         council = self.members[number]
         twin = copy(council)
-        twin.log, twin.out = council.log.clone(), []
+        twin.log, twin.outbox = council.log.clone(), []
         for name in ("told", "heard", "agreed", "match", "next", "acked_at", "births", "views"):
             setattr(twin, name, dict(getattr(council, name)))
         twin.votes = set(council.votes)
@@ -171,17 +173,17 @@
         """After a member did something: put what it says on the way, and look at who leads. What changes
         nothing any more, where nobody may forget, is taken off it."""
         council = self.members[number]
-        fresh = {self.post.number((number, council.birth, target, said)) for target, said in council.out}
-        council.out.clear()
-        wanted = council.wants_state
+        fresh = {self.post.number((number, council.boot_id, target, said)) for target, said in council.outbox}
+        council.outbox.clear()
+        wanted = council.snapshot_source
         if wanted is not None and wanted >= 0:
             # The whole state, in one piece and at once: of decided entries there is one history.
             self.heights[number] = max(self.heights[number], self.heights[wanted])
-            council.install(self.heights[number])
+            council.install_snapshot(self.heights[number])
         self.keys[number] = council_key(council)
         self.mail |= fresh
         if council.role is Role.LEADER:
-            who = (number, council.birth)
+            who = (number, council.boot_id)
             if self.leaders.setdefault((council.epoch, council.term), who) != who:
                 self.wrong = f"two lead term {council.term}"
         if prune:
@@ -192,26 +194,26 @@
         _, _, target, message = mail
         council = self.members[target]
         if council.role is Role.RECOVERING:
-            return isinstance(message, VoteTell | AppendTell)
+            return isinstance(message, VoteReply | AppendReply)
         match message:
-            case VoteAsk(_, term) | Append(_, term):
+            case VoteRequest(_, term) | AppendEntries(_, term):
                 return term < council.term
-            case VoteTell(_, term, ballot):
+            case VoteReply(_, term, ballot):
                 ours = council.role is Role.CANDIDATE and ballot == council.ballot
                 return not ours and term <= council.term
-            case AppendTell(_, term):
+            case AppendReply(_, term):
                 return term < council.term or (term == council.term and council.role is not Role.LEADER)
-            case RecoverTell():
+            case RecoveryReply():
                 return True
         return False
 
     def deliver(self, number: int) -> "Table":
-        origin, birth, target, message = self.post.letters[number]
+        origin, boot_id, target, message = self.post.letters[number]
         then = self.clone(target)
         then.mail = self.mail - {number}
         council = then.members[target]
-        if council.births.get(origin, 0) <= birth:  # as membership keeps out earlier processes
-            council.take(0, origin, birth, message)
+        if council.boot_ids.get(origin, 0) <= boot_id:  # as membership keeps out earlier processes
+            council.receive(0, origin, boot_id, message)
         return then
 
     def moves(self, budget: Budget) -> Iterator[tuple["Table", int, Budget]]:
@@ -221,7 +223,7 @@
         for number, council in enumerate(self.members):
             if budget.votes and council.role in (Role.FOLLOWER, Role.CANDIDATE):
                 then = self.clone(number)
-                then.members[number].campaign(0, trial=False)
+                then.members[number].campaign(0, is_prevote=False)
                 yield then, number, replace(budget, votes=budget.votes - 1)
             if budget.forgets:
                 then = self.clone(number)
@@ -231,11 +233,11 @@
                 yield then, number, replace(budget, forgets=budget.forgets - 1)
             if budget.doubts and council.role is Role.LEADER:
                 then = self.clone(number)
-                then.members[number]._follow(0, council.term, -1)
+                then.members[number]._become_follower(0, council.term, -1)
                 yield then, number, replace(budget, doubts=budget.doubts - 1)
             if budget.changes and council.role is Role.LEADER:
                 then = self.clone(number)
-                then.members[number].propose(0, Free(number, budget.changes, ""))
+                then.members[number].propose(0, FreeSlot(number, budget.changes, ""))
                 yield then, number, replace(budget, changes=budget.changes - 1)
             if budget.asks and council.role is Role.RECOVERING:
                 then = self.clone(number)
@@ -243,27 +245,27 @@
                 yield then, number, replace(budget, asks=budget.asks - 1)
 
 
-def settled(count: int, kind: type[Council] = Council) -> Table:
+def settled(count: int, kind: type[Consensus] = Consensus) -> Table:
     """A council in its first term, all of it in step, nothing on its way."""
     table = Table(count, kind)
     for council in table.members:
         for other in table.members:
-            council.births[other.me] = other.birth
-        council.epoch, council.log.base, council.role = 1 << 32, (1 << 32, 0, 0), Role.FOLLOWER
-        council.term, council.leader, council.voted = 1, 0, (0, 0)
+            council.boot_ids[other.local_number] = other.boot_id
+        council.epoch, council.log.snapshot_position, council.role = 1 << 32, (1 << 32, 0, 0), Role.FOLLOWER
+        council.term, council.leader, council.voted_for = 1, 0, (0, 0)
     table.heights = [(1 << 32, 0, 0)] * count
-    table.members[0]._lead(0)
+    table.members[0]._become_leader(0)
     table.settle(0, False)
     for beat in range(3):
         if beat:
-            table.members[0]._beat(0)
+            table.members[0]._send_heartbeats(0)
             table.settle(0, False)
         while table.mail:
             mail = min(table.mail)
             then = table.deliver(mail)
             then.settle(table.post.letters[mail][2], False)
             table = then
-    assert all(c.log.commit == 1 and isinstance(c.log.entries[0].command, Noop) for c in table.members)
+    assert all(c.log.commit_index == 1 and isinstance(c.log.entries[0].command, Noop) for c in table.members)
     table.births = count
     return table
 
--- a/whintrail/standins/parts.py
+++ b/whintrail/standins/parts.py
@@ -18,7 +18,7 @@
 from whintrail import interface as api
 from whintrail.standins.peers import Fleet, lossy, sound, split
 from whintrail.standins.scripted import Engine, query, wait_for
-from whintrail.subset.part import Part
+from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
 
 GATEWAYS, ENGINES, SIZE, HOLDERS = 6, 18, 8, 2
@@ -55,7 +55,9 @@
 class Story:
     def __init__(self, folder: Path, seed: int, operator: dict[str, Any]) -> None:
         self.random, self.audit = Random(seed), Audit()
-        self.parts = [Part(SubsetPlan(SIZE, HOLDERS, 0), settings_of(me)) for me in range(GATEWAYS)]
+        self.parts = [
+            SubsetAssignment(SubsetPlan(SIZE, HOLDERS, 0), settings_of(me)) for me in range(GATEWAYS)
+        ]
         self.versions: list[tuple[float, list[frozenset[str]]]] = []  # since when, what each gateway keeps
         self.leaving: dict[str, float] = {}
         self.owner: dict[str, int] = {}  # of a call: whom it was asked of
@@ -71,10 +73,10 @@
     def _listed(self, kind: api.ListKind, entries: list[dict[str, Any]]) -> None:
         from whintrail.gateway.bulletin import read_entry
 
-        event = api.EngineList(kind, tuple(read_entry(entry)[0] for entry in entries))
+        event = api.EngineListReceived(kind, tuple(read_entry(entry)[0] for entry in entries))
         for part in self.parts:
-            part.listed(event)
-        self.versions.append((time.monotonic(), [frozenset(part.shown) for part in self.parts]))
+            part.apply_list(event)
+        self.versions.append((time.monotonic(), [frozenset(part.kept) for part in self.parts]))
 
     def publish(self, *entries: dict[str, Any]) -> None:
         self.fleet.bulletin.publish(*entries)
--- a/whintrail/standins/rules.py
+++ b/whintrail/standins/rules.py
@@ -9,8 +9,8 @@
 from itertools import combinations
 
 from whintrail.standins.simulated import World
-from whintrail.versions.acting import Rule
-from whintrail.versions.body import Body, encode
+from whintrail.versions.lease import ActiveVersion
+from whintrail.versions.rules import Rules, encode
 
 EVERY_US = 20_000
 
@@ -22,23 +22,27 @@
     longest_us: int = 0
     unleased_us: int = 0  # summed over gateways
     apart: int = 0  # most different rules at a time
-    loosest: Callable[[Body], bool] | None = None
+    loosest: Callable[[Rules], bool] | None = None
     seen: list[tuple[int, int, bytes]] = field(default_factory=list)
 
     def start(self) -> None:
         self.world.at(self.world.now + EVERY_US, self._look)
 
-    def rule(self, number: int) -> Rule | None:
+    def rule(self, number: int) -> ActiveVersion | None:
         process = self.world.processes[number]
         if process is None or process.node is None or self.world.now < process.stopped_until:
             return None
         versions = process.node.settings
-        return versions.member.acting.rule(process.clock(self.world.now)) if versions is not None else None
+        return (
+            versions.member.lease.active_version(process.clock(self.world.now))
+            if versions is not None
+            else None
+        )
 
     def _look(self) -> None:
         now = self.world.now
         rules = [self.rule(number) for number in range(self.world.count)]
-        acted = {encode(rule.body) for rule in rules if rule is not None and rule.leased}
+        acted = {encode(rule.rules) for rule in rules if rule is not None and rule.leased}
         self.unleased_us += EVERY_US * sum(rule is not None and not rule.leased for rule in rules)
         self.apart = max(self.apart, len(acted))
         pairs = set(combinations(sorted(acted), 2))
--- a/whintrail/standins/simulated.py
+++ b/whintrail/standins/simulated.py
@@ -11,10 +11,10 @@
 from heapq import heappop, heappush
 from random import Random
 
-from whintrail.fleet.leader import EngineSeen
-from whintrail.fleet.node import Given, Node
-from whintrail.fleet.state import State
-from whintrail.versions.body import Body, check
+from whintrail.fleet.leader import EngineAvailability
+from whintrail.fleet.node import FleetConfig, FleetNode
+from whintrail.fleet.state import FleetState
+from whintrail.versions.rules import Rules, find_unsupported
 
 TICK_US = 50_000
 Fault = Callable[[int, int, Random], list[float]]
@@ -29,18 +29,18 @@
     """One life of a gateway, and what it does for itself."""
 
     number: int
-    birth: int
+    boot_id: int
     began: int  # by the world's clock, as all below
     offset: int
     drift: float
     build: str
-    engines: dict[str, EngineSeen]
+    engines: dict[str, EngineAvailability]
     busy: Callable[[int, str], int]
     bad: Callable[[str], tuple[float, float, float]]
     rate: float
     random: Random
     peers: int = 0
-    node: Node | None = None
+    node: FleetNode | None = None
     stopped_until: int = 0
     mail: list[tuple[int, bytes]] = field(default_factory=list)  # that came while it stood still
     at: int = 0
@@ -68,27 +68,27 @@
         return ((self.tally[0], self.tally[1], self.tally[2], self.tally[3]),)
 
     # The node calls it by this name.
-    def engines_(self) -> dict[str, EngineSeen]:
+    def engines_(self) -> dict[str, EngineAvailability]:
         return self.engines
 
 
 class _Local:
     def __init__(self, process: Process) -> None:
         self.process = process
-        self.serving_ms, self.held_by = process.serving_ms, process.held_by
-        self.counts, self.engines = process.counts, process.engines_
+        self.serving_ms, self.open_attempts = process.serving_ms, process.held_by
+        self.outcome_counts, self.engines = process.counts, process.engines_
 
-    def check_body(self, body: Body) -> str:
-        return check(body, frozenset({"lookup", "report"}), self.process.peers)
+    def check_body(self, body: Rules) -> str:
+        return find_unsupported(body, frozenset({"lookup", "report"}), self.process.peers)
 
 
 class World:
     def __init__(
         self,
-        given: Callable[[int, str], Given],
+        given: Callable[[int, str], FleetConfig],
         count: int,
         seed: int,
-        engines: dict[str, EngineSeen] | None = None,
+        engines: dict[str, EngineAvailability] | None = None,
         drift: float = 0.0,
         tick_us: int = TICK_US,
     ) -> None:
@@ -150,9 +150,9 @@
             Random(self.random.getrandbits(32)),
         )
         process.peers = self.count
-        process.node = Node(
+        process.node = FleetNode(
             self.given(number, build),
-            process.birth,
+            process.boot_id,
             1_000_000 + self.now // 1_000_000,
             process.clock(self.now),
             Random(self.random.getrandbits(32)),
@@ -170,9 +170,9 @@
         nodes = [
             process.node for process in self.processes if process is not None and process.node is not None
         ]
-        known = [(node.birth, node.members.mine.incarnation) for node in nodes]
+        known = [(node.boot_id, node.membership.local.incarnation) for node in nodes]
         for node in nodes:
-            node.members.assume(known)
+            node.membership.assume_alive(known)
 
     def kill(self, number: int) -> None:
         self.processes[number] = None
@@ -183,7 +183,7 @@
         if process is not None:
             process.stopped_until = self.now + int(seconds * 1e6)
 
-    def node(self, number: int) -> Node:
+    def node(self, number: int) -> FleetNode:
         process = self.processes[number]
         assert process is not None and process.node is not None
         return process.node
@@ -195,12 +195,12 @@
         """Who leads in the newest epoch and term."""
         found = []
         for number in self.up():
-            council = self.node(number).council
-            if council is not None and self.node(number).leads:
+            council = self.node(number).consensus
+            if council is not None and self.node(number).is_leader:
                 found.append((council.epoch, council.term, number))
         return max(found)[2] if found else None
 
-    def state(self) -> State:
+    def state(self) -> FleetState:
         """The furthest that anybody knows."""
         return max((self.node(n).replica for n in self.up()), key=lambda r: r.position).state
 
@@ -223,7 +223,7 @@
         if process.mail:
             mail, process.mail = process.mail, []
             for origin, data in mail:
-                node.take(clock, origin, data)
+                node.receive(clock, origin, data)
         node.tick(clock)
         self.flush(process)
         self.at(self.now + self.tick_us, process.turn)
@@ -252,5 +252,5 @@
         self.heard[target] += 1
         self.heard_bytes[target] += len(data)
         process.at = self.now
-        process.node.take(process.clock(self.now), origin, data)
+        process.node.receive(process.clock(self.now), origin, data)
         self.flush(process)
--- a/whintrail/standins/supervised.py
+++ b/whintrail/standins/supervised.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from whintrail.fleet.wire import DONE, WantSlot
+from whintrail.fleet.wire import DONE, SlotRequest
 from whintrail.standins.simulated import World
 
 
@@ -77,26 +77,26 @@
     waits_us: list[int] = field(default_factory=list)
     restarted: int = 0
     build: str = "old"
-    birth: int = 0  # of the process that was asked
+    boot_id: int = 0  # of the process that was asked
 
     def restart(self, build: str, seconds: float = 60.0) -> None:
         """As `may-restart --wait`."""
         process = self.world.processes[self.number]
         if process is None or process.node is None:
             return
-        self.build, self.asked_at, self.birth = build, self.world.now, process.birth
-        want = WantSlot(process.birth, process.build)
-        self.key = process.node.wish(process.clock(self.world.now), want, seconds, True)
+        self.build, self.asked_at, self.boot_id = build, self.world.now, process.boot_id
+        want = SlotRequest(process.boot_id, process.build)
+        self.key = process.node.submit(process.clock(self.world.now), want, seconds, True)
         self._look()
 
     def _look(self) -> None:
         process = self.world.processes[self.number]
-        if process is None or process.node is None or process.birth != self.birth:
+        if process is None or process.node is None or process.boot_id != self.boot_id:
             return  # it died meanwhile
         stopped = self.world.now < process.stopped_until
-        for outcome in () if stopped else process.node.outcomes():
+        for outcome in () if stopped else process.node.take_outcomes():
             if outcome.key == self.key:
-                if outcome.word == DONE:
+                if outcome.status == DONE:
                     self.waits_us.append(self.world.now - self.asked_at)
                     self.world.at(self.world.now + self.slow_us, self._terminate)
                 return
@@ -104,7 +104,7 @@
 
     def _terminate(self) -> None:
         process = self.world.processes[self.number]
-        if process is None or process.node is None or process.birth != self.birth:
+        if process is None or process.node is None or process.boot_id != self.boot_id:
             return
         if self.world.now < process.stopped_until:
             self.world.at(process.stopped_until, self._terminate)
@@ -112,11 +112,11 @@
         fence = process.node.leave(process.clock(self.world.now))
         self.auditor.goes(self.number, fence)
         self.world.flush(process)
-        self.world.at(self.world.now + 300_000, partial(self._ended, process.birth))
+        self.world.at(self.world.now + 300_000, partial(self._ended, process.boot_id))
 
-    def _ended(self, birth: int) -> None:
+    def _ended(self, boot_id: int) -> None:
         process = self.world.processes[self.number]
-        if process is not None and process.birth == birth:
+        if process is not None and process.boot_id == boot_id:
             self.world.kill(self.number)
             self.world.at(self.world.now + self.down_us, self.start)
 
--- a/whintrail/subset/plan.py
+++ b/whintrail/subset/plan.py
@@ -42,7 +42,7 @@
                     raise PlanError(f"{where}.zones: {zone!r} is in subset.regions[{homes[zone]}] too")
                 homes[zone] = number
 
-    def check(self, gateways: int) -> None:
+    def check_fleet_size(self, gateway_count: int) -> None:
         """PlanError where the regions do not share out exactly the gateways 0 to `gateways` - 1."""
         if not self.regions:
             return
@@ -56,7 +56,7 @@
             if first > free:
                 raise PlanError(f"subset.regions: gateway {free} is in none")
             free, before = last + 1, number
-        if free < gateways:
+        if free < gateway_count:
             raise PlanError(f"subset.regions: gateway {free} is in none")
-        if free > gateways:
-            raise PlanError(f"subset.regions[{before}].last: {free - 1}, of a fleet of {gateways}")
+        if free > gateway_count:
+            raise PlanError(f"subset.regions[{before}].last: {free - 1}, of a fleet of {gateway_count}")
--- a/whintrail/subset/ring.py
+++ b/whintrail/subset/ring.py
@@ -13,62 +13,62 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-FULL = 1 << 64
-MASK = FULL - 1
+RING_SIZE = 1 << 64
+RING_MASK = RING_SIZE - 1
 # The fractions of the golden ratio and of the square roots of 2, 13 (its half) and 3, times 2**64, made odd.
 # No two from one square root: neighbours in one ring would be neighbours in the other.
-TURNS = (0x9E3779B97F4A7C15, 0x6A09E667F3BCC909, 0x4D82B446159F360F, 0xBB67AE8584CAA73B)
+RING_MULTIPLIERS = (0x9E3779B97F4A7C15, 0x6A09E667F3BCC909, 0x4D82B446159F360F, 0xBB67AE8584CAA73B)
 
 
-def words_of(text: str) -> tuple[int, int]:
+def hash_pair(text: str) -> tuple[int, int]:
     """Two independent hashes of 64 bits, the same in every process."""
     data = blake2b(text.encode("utf-8", "surrogatepass"), digest_size=16).digest()
     return int.from_bytes(data[:8], "big"), int.from_bytes(data[8:], "big")
 
 
-class Circle:
+class GatewayRing:
     """Gateways of one ring in the order of their places."""
 
-    def __init__(self, numbers: Iterable[int], turn: int) -> None:
-        pairs = sorted((number * turn & MASK, number) for number in numbers)
-        self.places = array("Q", (place for place, _ in pairs))
+    def __init__(self, numbers: Iterable[int], multiplier: int) -> None:
+        pairs = sorted((number * multiplier & RING_MASK, number) for number in numbers)
+        self.positions = array("Q", (place for place, _ in pairs))
         self.numbers = array("l", (number for _, number in pairs))
-        self.turn = turn
+        self.multiplier = multiplier
 
     def __len__(self) -> int:
-        return len(self.places)
+        return len(self.positions)
 
     def index(self, number: int) -> int | None:
         """Where among the others a gateway stands; None if it is none of them."""
-        at = bisect_left(self.places, number * self.turn & MASK)
-        return at if at < len(self.places) and self.numbers[at] == number else None
+        at = bisect_left(self.positions, number * self.multiplier & RING_MASK)
+        return at if at < len(self.positions) and self.numbers[at] == number else None
 
-    def behind(self, place: int) -> int:
+    def count_up_to(self, position: int) -> int:
         """How many gateways stand from 0 up to a place; the last of them is the nearest behind it."""
-        return bisect_right(self.places, place)
+        return bisect_right(self.positions, position)
 
-    def between(self, start: int, place: int) -> int:
+    def count_between(self, start: int, position: int) -> int:
         """How many gateways stand after `start`, up to `place`, clockwise; none where they are one."""
-        count = self.behind(place) - self.behind(start)
-        return count if place >= start else count + len(self.places)
+        count = self.count_up_to(position) - self.count_up_to(start)
+        return count if position >= start else count + len(self.positions)
 
-    def within(self, place: int, width: int) -> int:
+    def count_within(self, position: int, width: int) -> int:
         """How many gateways see a place within so much clockwise of their own: in (place - width, place]."""
-        if width >= FULL:
-            return len(self.places)
-        return self.between((place - width) & MASK, place)
+        if width >= RING_SIZE:
+            return len(self.positions)
+        return self.count_between((position - width) & RING_MASK, position)
 
-    def steady(self, place: int, count: int) -> tuple[int, int]:
+    def stable_widths(self, position: int, count: int) -> tuple[int, int]:
         """From which width on, and below which, `within` counts so many."""
-        last = self.behind(place) - 1
+        last = self.count_up_to(position) - 1
         low = high = 0
         if count:
-            low = ((place - self.places[(last - count + 1) % len(self.places)]) & MASK) + 1
-        if count < len(self.places):
-            high = ((place - self.places[(last - count) % len(self.places)]) & MASK) + 1
-        return low, high or FULL + 1
+            low = ((position - self.positions[(last - count + 1) % len(self.positions)]) & RING_MASK) + 1
+        if count < len(self.positions):
+            high = ((position - self.positions[(last - count) % len(self.positions)]) & RING_MASK) + 1
+        return low, high or RING_SIZE + 1
 
-    def nearest(self, place: int, count: int) -> list[int]:
+    def nearest(self, position: int, count: int) -> list[int]:
         """The numbers of the nearest gateways behind a place, the nearest first."""
-        last = self.behind(place) - 1
+        last = self.count_up_to(position) - 1
         return [self.numbers[(last - step) % len(self.numbers)] for step in range(count)]
--- a/whintrail/timeline/kinds.py
+++ b/whintrail/timeline/events.py
@@ -36,11 +36,11 @@
 STATE_CODE = {state: code for code, state in enumerate(STATES)}
 REASONS = tuple(api.Reason)
 REASON_CODE = {reason: code for code, reason in enumerate(REASONS)}
-TOPICS = tuple(api.Topic)
+TOPICS = tuple(api.StatusTopic)
 TOPIC_CODE = {topic: code for code, topic in enumerate(TOPICS)}
-END = 128
+VERDICT_END_FLAG = 128
 # What the fleet decides: of an engine under its name, else under FLEET.
-FLEET = "(fleet)"
+FLEET_NAME = "(fleet)"
 AGREED = (
     "slot granted",
     "slot free",
@@ -73,13 +73,13 @@
 AGREED_CODE = {word: code for code, word in enumerate(AGREED)}
 
 # Outcomes that show that the engine works on what it is sent.
-ALIVE = frozenset({api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.MOOT})
+ANSWERED_OUTCOMES = frozenset({api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.NOT_STARTED})
 # Outcomes after which the engine's answer is unknown: silence.
-SILENT = frozenset({api.Outcome.TIMEOUT, api.Outcome.CANCELLED, api.Outcome.UNKNOWN})
+UNANSWERED_OUTCOMES = frozenset({api.Outcome.TIMEOUT, api.Outcome.CANCELLED, api.Outcome.UNKNOWN})
 
 
 @dataclass(slots=True)
-class Happening:
+class Detection:
     """The judge's word on an engine: a behaviour that began, or its end. Times in Unix microseconds."""
 
     engine: str
@@ -89,7 +89,7 @@
     since_us: int  # when it began, or ended, as far as can be told
     evidence: dict[str, float] = field(default_factory=dict)
 
-    def text(self) -> str:
+    def describe(self) -> str:
         word = self.verdict.name.lower().replace("_", " ")
         figures = " ".join(f"{name}={value:.4g}" for name, value in self.evidence.items())
         return f"{self.engine} {'is' if self.begins else 'no longer'} {word}: {figures}"
@@ -112,9 +112,9 @@
         match self.kind:
             case Kind.LISTED:
                 age = f", {b:.1f} s old" if b >= 0 else ""
-                return f"listed as {_name(STATES, code)}{age}"
+                return f"listed as {_code_name(STATES, code)}{age}"
             case Kind.PROBED:
-                return f"probe {_name(OUTCOMES, code)} in {a:.1f} ms"
+                return f"probe {_code_name(OUTCOMES, code)} in {a:.1f} ms"
             case Kind.REPORTED:
                 memory = f", memory {b:.2f}" if b >= 0 else ""
                 return f"reports load {a:.2f}{memory}"
@@ -122,19 +122,21 @@
                 name = classes[code] if code < len(classes) else f"class {code}"
                 return f"drawn for query {a:.0f} ({name}), attempt {b:.0f}"
             case Kind.ENDED:
-                return f"query {a:.0f} ended {_name(OUTCOMES, code)} after {b:.1f} ms"
+                return f"query {a:.0f} ended {_code_name(OUTCOMES, code)} after {b:.1f} ms"
             case Kind.DECIDED:
-                return f"{_name(REASONS, code)}{f' x{a:.0f}' if a > 1 else ''}"
+                return f"{_code_name(REASONS, code)}{f' x{a:.0f}' if a > 1 else ''}"
             case Kind.NOTED:
-                return f"query {a:.0f} notes {_name(TOPICS, code)} {b:.3g}"
+                return f"query {a:.0f} notes {_code_name(TOPICS, code)} {b:.3g}"
             case Kind.AGREED:
                 word = AGREED[code] if code < len(AGREED) else f"code {code}"
                 figure, whose = f" {a:.0f}" if a >= 0 else "", f", gateway {b:.0f}" if b >= 0 else ""
                 return f"AGREED {word}{figure}{whose}"
             case Kind.JUDGED:
-                word = Verdict(code & ~END).name.lower().replace("_", " ")
-                return f"{'no longer' if code & END else 'JUDGED'} {word} ({a:.4g})"
+                word = Verdict(code & ~VERDICT_END_FLAG).name.lower().replace("_", " ")
+                return f"{'no longer' if code & VERDICT_END_FLAG else 'JUDGED'} {word} ({a:.4g})"
 
 
-def _name(names: tuple[api.Outcome | api.EngineState | api.Reason | api.Topic, ...], code: int) -> str:
+def _code_name(
+    names: tuple[api.Outcome | api.EngineState | api.Reason | api.StatusTopic, ...], code: int
+) -> str:
     return str(names[code].value) if code < len(names) else f"code {code}"
--- a/whintrail/timeline/live.py
+++ b/whintrail/timeline/live_view.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from whintrail.control.lines import Counts, LineServer, encode
+from whintrail.control.json_lines import CounterSink, LineServer, encode_json
 from whintrail.timeline.core import Timeline
-from whintrail.timeline.kinds import Happening
+from whintrail.timeline.events import Detection
 
-MOST_ROWS, QUEUE = 200_000, 256
-BATCH = 200  # rows written before others have their turn
+MAX_ROWS, FOLLOWER_QUEUE_LINES = 200_000, 256
+WRITE_BATCH_ROWS = 200  # rows written before others have their turn
 
 
 class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -34,17 +34,17 @@
     def __init__(self) -> None:
         self.queue: deque[bytes] = deque()
         self.missed = 0
-        self.wanted = asyncio.Event()
+        self.lines_ready = asyncio.Event()
 
-    def tell(self, line: bytes) -> None:
-        if len(self.queue) >= QUEUE:
+    def enqueue(self, line: bytes) -> None:
+        if len(self.queue) >= FOLLOWER_QUEUE_LINES:
             self.missed += 1
         else:
             self.queue.append(line)
-        self.wanted.set()
+        self.lines_ready.set()
 
 
-def happening_row(happening: Happening) -> dict[str, object]:
+def detection_row(happening: Detection) -> dict[str, object]:
     return {
         "at_us": happening.at_us,
         "engine": happening.engine,
@@ -55,50 +55,50 @@
     }
 
 
-class Live(LineServer):
+class LiveView(LineServer):
     """Errors of the constructor: OSError where the socket can't be had."""
 
     request_type = Request
-    group = "timeline"
+    counter_group = "timeline"
 
-    def __init__(self, path: str, timeline: Timeline, followers: int, counters: Counts) -> None:
+    def __init__(self, path: str, timeline: Timeline, followers: int, counters: CounterSink) -> None:
         super().__init__(path, counters)
-        self.timeline, self.most_followers = timeline, followers
+        self.timeline, self.max_followers = timeline, followers
         self.followers: set[Follower] = set()
 
-    def tell(self, happenings: Iterable[Happening]) -> None:
-        lines = [encode(happening_row(happening)) + b"\n" for happening in happenings]
+    def publish(self, detections: Iterable[Detection]) -> None:
+        lines = [encode_json(detection_row(happening)) + b"\n" for happening in detections]
         for follower in self.followers:
             for line in lines:
-                follower.tell(line)
+                follower.enqueue(line)
 
-    async def answer(self, sock: socket.socket, request: Request) -> None:
+    async def handle_request(self, sock: socket.socket, request: Request) -> None:
         if request.what == "events" and request.follow:
             await self._follow(sock, request)
             return
         batch = bytearray()
-        for number, row in enumerate(self._rows(request)):
-            if number >= MOST_ROWS:
-                batch += encode({"error": f"more than {MOST_ROWS} rows: ask for a shorter time"}) + b"\n"
+        for number, row in enumerate(self._write_rows(request)):
+            if number >= MAX_ROWS:
+                batch += encode_json({"error": f"more than {MAX_ROWS} rows: ask for a shorter time"}) + b"\n"
                 break
-            batch += encode(row) + b"\n"
-            if number % BATCH == BATCH - 1:
+            batch += encode_json(row) + b"\n"
+            if number % WRITE_BATCH_ROWS == WRITE_BATCH_ROWS - 1:
                 await self.write(sock, bytes(batch))
                 batch.clear()
                 await asyncio.sleep(0)
         await self.write(sock, bytes(batch))
 
-    def _rows(self, request: Request) -> Iterator[dict[str, Any]]:
+    def _write_rows(self, request: Request) -> Iterator[dict[str, Any]]:
         timeline, engine = self.timeline, request.engine
         match request.what:
             case "engines":
                 yield from timeline.engines()
             case "events":
-                for happening in list(timeline.happenings):
+                for happening in list(timeline.detections):
                     if engine in (None, happening.engine) and happening.at_us >= request.since_us:
-                        yield happening_row(happening)
+                        yield detection_row(happening)
             case "show" if request.level is None:
-                for row in timeline.record.rows(engine, request.since_us, request.until_us):
+                for row in timeline.history.rows(engine, request.since_us, request.until_us):
                     yield {
                         "at_us": row.at_us,
                         "engine": row.engine,
@@ -106,31 +106,31 @@
                         "what": row.describe(timeline.classes),
                     }
             case "show" if engine is not None and request.level in (0, 1, 2):
-                for bucket in timeline.record.rolled_up(engine, request.level, request.since_us):
+                for bucket in timeline.history.buckets(engine, request.level, request.since_us):
                     yield bucket.summary()
             case _:
                 yield {"error": f"no such request: {request.what}"}
 
     async def _follow(self, sock: socket.socket, request: Request) -> None:
-        if len(self.followers) >= self.most_followers:
-            await self.write(sock, encode({"error": "as many followers as the file allows"}) + b"\n")
+        if len(self.followers) >= self.max_followers:
+            await self.write(sock, encode_json({"error": "as many followers as the file allows"}) + b"\n")
             return
         follower, loop = Follower(), asyncio.get_running_loop()
         self.followers.add(follower)
-        gone = loop.create_task(self.gone(sock))
+        gone = loop.create_task(self.wait_closed(sock))
         try:
-            for row in self._rows(request):
-                follower.tell(encode(row) + b"\n")
+            for row in self._write_rows(request):
+                follower.enqueue(encode_json(row) + b"\n")
             while not gone.done():
-                waiting = loop.create_task(follower.wanted.wait())
+                waiting = loop.create_task(follower.lines_ready.wait())
                 await asyncio.wait([waiting, gone], return_when=asyncio.FIRST_COMPLETED)
                 waiting.cancel()
-                follower.wanted.clear()
+                follower.lines_ready.clear()
                 while follower.queue and not gone.done():
                     data = b"".join(follower.queue)
                     follower.queue.clear()
                     if follower.missed:
-                        data += encode({"missed": follower.missed}) + b"\n"
+                        data += encode_json({"missed": follower.missed}) + b"\n"
                         follower.missed = 0
                     await self.write(sock, data)
         finally:
--- a/whintrail/timeline/plot.py
+++ b/whintrail/timeline/plot.py
@@ -13,31 +13,31 @@
 from matplotlib.patches import Patch
 
 from whintrail import interface as api
-from whintrail.structures.sketch import Sketch
-from whintrail.timeline.kinds import OUTCOME_CODE, STATES, Happening, Kind, Row, Verdict
+from whintrail.structures.sketch import QuantileSketch
+from whintrail.timeline.events import OUTCOME_CODE, STATES, Detection, Kind, Row, Verdict
 from whintrail.timeline.store import Reader
 
-MOST_LANES = 40
-COLOURS = {
+MAX_LANES = 40
+VERDICT_COLOURS = {
     Verdict.STALLED: "#b2182b",
     Verdict.SLOW: "#ef8a62",
     Verdict.FAILING: "#762a83",
     Verdict.FLAPPING: "#1b7837",
     Verdict.COLD_AGAIN: "#2166ac",
 }
-OK = OUTCOME_CODE[api.Outcome.OK]
-MOVED = {OUTCOME_CODE[api.Outcome.CANCELLED], OUTCOME_CODE[api.Outcome.MOOT]}
+OK_CODE = OUTCOME_CODE[api.Outcome.OK]
+CANCELLED_CODES = {OUTCOME_CODE[api.Outcome.CANCELLED], OUTCOME_CODE[api.Outcome.NOT_STARTED]}
 
 
-def moment(us: float) -> float:
+def to_date_number(us: float) -> float:
     return float(dates.date2num(datetime.fromtimestamp(us / 1e6, UTC)))  # type: ignore[no-untyped-call]
 
 
-def intervals(happenings: list[Happening], end_us: int) -> list[tuple[Verdict, int, int]]:
+def verdict_intervals(detections: list[Detection], end_us: int) -> list[tuple[Verdict, int, int]]:
     """Begin and end of each judgement; one that has no end yet lasts until `end_us`."""
     begun: dict[Verdict, int] = {}
     found = []
-    for happening in happenings:
+    for happening in detections:
         if happening.begins:
             begun[happening.verdict] = happening.since_us
         elif happening.verdict in begun:
@@ -45,10 +45,10 @@
     return found + [(verdict, since, end_us) for verdict, since in begun.items()]
 
 
-def draw(reader: Reader, engines: list[str], since: int, until: int, out: str) -> int:
+def draw_incident(reader: Reader, engines: list[str], since: int, until: int, out: str) -> int:
     """How many engines were drawn; 0 where there is nothing. Errors: OSError."""
     rows: defaultdict[str, list[Row]] = defaultdict(list)
-    for name in engines or reader.engines()[:MOST_LANES]:
+    for name in engines or reader.engines()[:MAX_LANES]:
         if found := list(reader.rows(name, since, until)):
             rows[name] = found
     if not rows:
@@ -59,40 +59,47 @@
         len(rows), 1, sharex=True, squeeze=False, figsize=(12, 1.0 + 1.5 * len(rows)), layout="constrained"
     )
     for axes, (name, found) in zip(lanes[:, 0], sorted(rows.items()), strict=True):
-        _lane(axes, name, found, list(reader.happenings(name, since, until)), begin, end)
+        _draw_lane(axes, name, found, list(reader.detections(name, since, until)), begin, end)
     lanes[-1, 0].xaxis.set_major_formatter(dates.DateFormatter("%H:%M:%S"))  # type: ignore[no-untyped-call]
     lanes[-1, 0].set_xlabel("time (UTC); latency p50 to p95 in ms, logarithmic; grey: load; marks: no answer")
-    handles = [Patch(color=colour, alpha=0.35) for colour in COLOURS.values()]
-    names = [verdict.name.lower().replace("_", " ") for verdict in COLOURS]
+    handles = [Patch(color=colour, alpha=0.35) for colour in VERDICT_COLOURS.values()]
+    names = [verdict.name.lower().replace("_", " ") for verdict in VERDICT_COLOURS]
     figure.legend(handles, names, loc="outside upper center", ncols=len(names), frameon=False)
     figure.savefig(out, dpi=110)
     plt.close(figure)
     return len(rows)
 
 
-def _lane(axes: Axes, name: str, rows: list[Row], happenings: list[Happening], begin: int, end: int) -> None:
+def _draw_lane(
+    axes: Axes, name: str, rows: list[Row], detections: list[Detection], begin: int, end: int
+) -> None:
     step = max(500_000, (end - begin) // 240)
-    latency: defaultdict[int, Sketch] = defaultdict(Sketch)
+    latency: defaultdict[int, QuantileSketch] = defaultdict(QuantileSketch)
     bad: list[float] = []
     loads: list[tuple[float, float]] = []
     for row in rows:
-        if row.kind is Kind.ENDED and row.code == OK:
+        if row.kind is Kind.ENDED and row.code == OK_CODE:
             latency[(row.at_us - begin) // step].add(row.b)
-        elif row.kind is Kind.ENDED and row.code not in MOVED:
-            bad.append(moment(row.at_us))
+        elif row.kind is Kind.ENDED and row.code not in CANCELLED_CODES:
+            bad.append(to_date_number(row.at_us))
         elif row.kind is Kind.REPORTED:
-            loads.append((moment(row.at_us), row.a))
-    for verdict, since, until in intervals(happenings, end):
-        axes.axvspan(moment(max(since, begin)), moment(min(until, end)), color=COLOURS[verdict], alpha=0.35)
+            loads.append((to_date_number(row.at_us), row.a))
+    for verdict, since, until in verdict_intervals(detections, end):
+        axes.axvspan(
+            to_date_number(max(since, begin)),
+            to_date_number(min(until, end)),
+            color=VERDICT_COLOURS[verdict],
+            alpha=0.35,
+        )
     places = range(min(latency), max(latency) + 1) if latency else range(0)
-    at = [moment(begin + place * step + step / 2) for place in places]
+    at = [to_date_number(begin + place * step + step / 2) for place in places]
     # A time without an answer is a gap, not a line drawn across it.
     low = [max(0.1, latency[p].quantile(0.5)) if p in latency else nan for p in places]
     high = [max(0.1, latency[p].quantile(0.95)) if p in latency else nan for p in places]
     axes.fill_between(at, low, high, color="#4393c3", alpha=0.6, linewidth=0)
     axes.plot(at, low, color="#2166ac", linewidth=0.8)
     axes.set_yscale("log")
-    axes.set_xlim(moment(begin), moment(end))
+    axes.set_xlim(to_date_number(begin), to_date_number(end))
     if bad:
         axes.plot(
             bad, [0.97] * len(bad), "|", color="black", transform=axes.get_xaxis_transform(), markersize=5
@@ -104,6 +111,6 @@
         beside.tick_params(labelsize=6)
     for row in rows:
         if row.kind is Kind.LISTED and STATES[row.code] is not api.EngineState.READY:
-            axes.axvline(moment(row.at_us), color="black", linestyle=":", linewidth=1)
+            axes.axvline(to_date_number(row.at_us), color="black", linestyle=":", linewidth=1)
     axes.set_ylabel(name, rotation=0, ha="right", va="center", fontsize=8)
     axes.tick_params(labelsize=6)
--- a/whintrail/timeline/keeper.py
+++ b/whintrail/timeline/recorder.py
@@ -10,82 +10,84 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Protocol
 
-from whintrail.background import Plan, Priority, Runner
-from whintrail.config import OperatorFile, Watch
+from whintrail.background import JobQueue, JobRunner, Priority
+from whintrail.config import DetectionThresholds, OperatorFile
 from whintrail.config import Timeline as TimelineSettings
 from whintrail.timeline.core import Timeline
-from whintrail.timeline.errors import StoreOff
-from whintrail.timeline.judge import Thresholds
+from whintrail.timeline.detector import Thresholds
+from whintrail.timeline.errors import StoreUnavailable
 
 if TYPE_CHECKING:  # what the file doesn't ask for is not imported: the store's libraries take 4 MB
-    from whintrail.timeline.live import Live
+    from whintrail.timeline.live_view import LiveView
     from whintrail.timeline.store import Writer
 
 MEGABYTE = 1 << 20
 Work = Generator[None, None, None]
 
 
-class Says(Protocol):
+class EventLog(Protocol):
     def line(self, kind: str, text: str, **fields: object) -> None: ...
 
 
-class Counts(Protocol):
+class CounterSink(Protocol):
     def add(self, group: str, name: str, count: int = 1) -> None: ...
 
 
-def thresholds(given: Watch) -> Thresholds:
+def thresholds_from_settings(settings: DetectionThresholds) -> Thresholds:
     return Thresholds(
-        stalled_evidence=given.stalled_evidence,
-        stalled_least_us=int(given.stalled_least_s * 1e6),
-        slow_factor=given.slow_factor,
-        slow_evidence=given.slow_evidence,
-        failing_share=given.failing_share,
-        flapping_turns=given.flapping_turns,
-        flapping_within_us=int(given.flapping_within_s * 1e6),
+        stalled_evidence=settings.stalled_evidence,
+        stalled_least_us=int(settings.stalled_least_s * 1e6),
+        slow_factor=settings.slow_factor,
+        slow_evidence=settings.slow_evidence,
+        failing_share=settings.failing_share,
+        flapping_turns=settings.flapping_turns,
+        flapping_within_us=int(settings.flapping_within_s * 1e6),
     )
 
 
-class Keeper:
+class Recorder:
     def __init__(
         self,
-        given: OperatorFile,
+        operator_file: OperatorFile,
         settings: TimelineSettings,
-        name: str,
+        gateway_name: str,
         classes: tuple[str, ...],
         cold_us: int,
-        now: Callable[[], int],
-        counters: Counts,
-        log: Says,
+        now_us: Callable[[], int],
+        counters: CounterSink,
+        log: EventLog,
     ) -> None:
-        self.settings, self.name, self.now = settings, name, now
+        self.settings, self.gateway_name, self.now_us = settings, gateway_name, now_us
         self.counters, self.log = counters, log
         memory = int(settings.memory_mb * MEGABYTE)
         self.timeline = Timeline(
-            memory, int(settings.raw_s * 1e6), thresholds(settings.watch), classes, cold_us
+            memory, int(settings.raw_s * 1e6), thresholds_from_settings(settings.watch), classes, cold_us
         )
-        background = given.background
-        self.plan = Plan(background.share, background.slice_ms / 1000, background.waiting)
-        self.runner: Runner | None = None
+        background = operator_file.background
+        self.plan = JobQueue(background.share, background.slice_ms / 1000, background.waiting)
+        self.runner: JobRunner | None = None
         self.writer: Writer | None = None
-        self.live: Live | None = None
+        self.live_view: LiveView | None = None
         self.tasks: list[asyncio.Task[None]] = []
-        self.busy: set[str] = set()  # jobs of which one is in line
+        self.queued_jobs: set[str] = set()  # jobs of which one is in line
 
-    def apply(self, settings: TimelineSettings) -> None:
+    def apply_settings(self, settings: TimelineSettings) -> None:
         """A changed operator's file: the thresholds hold at once; sizes and places with the next start."""
-        self.timeline.judge.limits = thresholds(settings.watch)
+        self.timeline.detector.thresholds = thresholds_from_settings(settings.watch)
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self.runner = Runner(self.plan, self._failed)
+        self.runner = JobRunner(self.plan, self._handle_job_failure)
         if self.settings.store is not None:
             self._open_store()
         if self.settings.socket is not None:
-            from whintrail.timeline.live import Live
+            from whintrail.timeline.live_view import LiveView
 
             try:
-                self.live = Live(self.settings.socket, self.timeline, self.settings.followers, self.counters)
-                self.tasks.append(loop.create_task(self.live.run()))
+                self.live_view = LiveView(
+                    self.settings.socket, self.timeline, self.settings.followers, self.counters
+                )
+                self.tasks.append(loop.create_task(self.live_view.run()))
             except OSError as error:
                 self.log.line("timeline", f"no live view at {self.settings.socket}: {error}")
 
@@ -97,21 +99,21 @@
         try:
             self.writer = Writer(
                 store.directory,
-                self.name,
+                self.gateway_name,
                 self.timeline.classes,
                 int(store.segment_mb * MEGABYTE),
                 int(store.keep_mb * MEGABYTE),
                 int(store.keep_s * 1e6),
-                self.now,
+                self.now_us,
             )
-        except StoreOff as error:
-            self._store_off(error)
+        except StoreUnavailable as error:
+            self._report_store_off(error)
             return
-        self._submit("index", Priority.INDEX, self.writer.index_old())
+        self._submit("index", Priority.INDEX, self.writer.index_old_segments())
         loop = asyncio.get_running_loop()
-        self.tasks.append(loop.create_task(self._write(self.writer)))
+        self.tasks.append(loop.create_task(self._run_writes(self.writer)))
         if store.fsync != "never":
-            self.tasks.append(loop.create_task(self._sync(self.writer)))
+            self.tasks.append(loop.create_task(self._run_syncs(self.writer)))
 
     # --- Called by the owner.
 
@@ -122,66 +124,66 @@
             word = happening.verdict.name.lower()
             self.counters.add("timeline", f"{word}_{'began' if happening.begins else 'ended'}")
             figures = {name: float(f"{value:.4g}") for name, value in happening.evidence.items()}
-            text = happening.text().partition(":")[0]
+            text = happening.describe().partition(":")[0]
             self.log.line(f"timeline-{word}", text, since_us=happening.since_us, **figures)
         if found and self.writer is not None:
-            self._submit("judged", Priority.WRITE, self.writer.judged(found), one=False)
-        if found and self.live is not None:
-            self.live.tell(found)
+            self._submit("judged", Priority.WRITE, self.writer.write_detections(found), one=False)
+        if found and self.live_view is not None:
+            self.live_view.publish(found)
 
     # --- The store's work.
 
     def _submit(self, name: str, priority: Priority, work: Work, one: bool = True) -> None:
-        if self.runner is None or (one and name in self.busy):
+        if self.runner is None or (one and name in self.queued_jobs):
             work.close()
             return
         if one:
-            self.busy.add(name)
-            work = self._marked(name, work)
+            self.queued_jobs.add(name)
+            work = self._track_job(name, work)
         if not self.runner.submit(name, priority, work):
-            self.busy.discard(name)
+            self.queued_jobs.discard(name)
             self.counters.add("timeline", "shed")
 
-    def _marked(self, name: str, work: Work) -> Work:
+    def _track_job(self, name: str, work: Work) -> Work:
         try:
             yield from work
         finally:
-            self.busy.discard(name)
+            self.queued_jobs.discard(name)
 
-    async def _write(self, writer: "Writer") -> None:
+    async def _run_writes(self, writer: "Writer") -> None:
         store = self.settings.store
         assert store is not None
         turn = 0
-        while writer.off is None:
+        while writer.off_reason is None:
             await asyncio.sleep(store.flush_every_s)
-            self._submit("flush", Priority.WRITE, writer.flush(self.timeline))
+            self._submit("flush", Priority.WRITE, writer.write_events(self.timeline))
             turn += 1
             if turn % 5 == 0:
-                self._submit("roll", Priority.ROLL, writer.roll(self.timeline))
+                self._submit("roll", Priority.ROLL, writer.write_rollups(self.timeline))
             if turn % 30 == 0:
-                self._submit("clear", Priority.DELETE, writer.clear())
+                self._submit("clear", Priority.DELETE, writer.delete_expired())
 
-    async def _sync(self, writer: "Writer") -> None:
+    async def _run_syncs(self, writer: "Writer") -> None:
         """A disk's sync may take seconds: it waits on a thread, and stalls nobody."""
         store = self.settings.store
         assert store is not None
         every = store.flush_every_s if store.fsync == "always" else store.fsync_every_s
-        while writer.off is None:
+        while writer.off_reason is None:
             await asyncio.sleep(every)
             try:
                 await asyncio.to_thread(writer.sync)
             except OSError as error:
-                writer.off = writer.off or str(error)
-                self._store_off(StoreOff(str(error)))
+                writer.off_reason = writer.off_reason or str(error)
+                self._report_store_off(StoreUnavailable(str(error)))
 
-    def _failed(self, name: str, error: Exception) -> None:
-        if isinstance(error, StoreOff):
-            self._store_off(error)
+    def _handle_job_failure(self, name: str, error: Exception) -> None:
+        if isinstance(error, StoreUnavailable):
+            self._report_store_off(error)
             return
         self.counters.add("timeline", "faults")
         self.log.line("timeline", f"{name}: {type(error).__name__}: {error}")
 
-    def _store_off(self, error: StoreOff) -> None:
+    def _report_store_off(self, error: StoreUnavailable) -> None:
         self.counters.add("timeline", "store_off")
         self.log.line("timeline", f"the store is off: {error}; the gateway goes on without it")
 
@@ -190,21 +192,21 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        if self.writer is not None and self.writer.off is None:
-            self._submit("roll", Priority.WRITE, self.writer.roll(self.timeline), one=False)
-            self._submit("flush", Priority.WRITE, self.writer.flush(self.timeline), one=False)
+        if self.writer is not None and self.writer.off_reason is None:
+            self._submit("roll", Priority.WRITE, self.writer.write_rollups(self.timeline), one=False)
+            self._submit("flush", Priority.WRITE, self.writer.write_events(self.timeline), one=False)
         if self.runner is not None:
             await self.runner.close()
         for name, count in self.plan.shed.items():
             self.counters.add("timeline", f"shed_{name}", count)
         if self.writer is not None:
-            self.counters.add("timeline", "stored", self.writer.events)
-            self.counters.add("timeline", "missed", self.writer.missed)
+            self.counters.add("timeline", "stored", self.writer.events_written)
+            self.counters.add("timeline", "missed", self.writer.missed_events)
             with suppress(OSError):
                 self.writer.sync()
             self.writer.close()
-        if self.live is not None:
-            self.live.close()
-        if self.settings.socket is not None and self.live is not None:
+        if self.live_view is not None:
+            self.live_view.close()
+        if self.settings.socket is not None and self.live_view is not None:
             with suppress(OSError):
                 os.unlink(self.settings.socket)
--- a/whintrail/timeline/rollups.py
+++ b/whintrail/timeline/rollups.py
@@ -7,13 +7,13 @@
 import struct
 from dataclasses import dataclass, field
 
-from whintrail.structures.sketch import Sketch
+from whintrail.structures.sketch import QuantileSketch
 
 SPANS_US = (1_000_000, 10_000_000, 60_000_000)
-KEPT = (180, 360, 720)  # sealed buckets a level, where memory allows: 3 min, 1 h, 12 h
-HEAD = struct.Struct("<qIIIIIIIfffH")
-OBJECT_BYTES = 33  # what CPython adds to each piece of bytes, beside its place in a line
-PLACE_BYTES = 32
+MAX_SEALED_BUCKETS = (180, 360, 720)  # sealed buckets a level, where memory allows: 3 min, 1 h, 12 h
+BUCKET_HEADER = struct.Struct("<qIIIIIIIfffH")
+BYTES_OBJECT_OVERHEAD = 33  # what CPython adds to each piece of bytes, beside its place in a line
+LIST_SLOT_BYTES = 32
 
 
 @dataclass(slots=True)
@@ -25,16 +25,16 @@
     full: int = 0
     lost: int = 0  # time-outs, resets, failed connects
     moved: int = 0  # cancelled or moot
-    passed: int = 0  # passed over in the draw
-    load_most: float = 0.0
+    passed_over: int = 0  # passed over in the draw
+    max_load: float = 0.0
     load_sum: float = 0.0
-    held_most: float = 0.0  # of our own attempts
-    loads: int = 0
-    latency: Sketch = field(default_factory=Sketch)  # of answers, in ms
+    max_held: float = 0.0  # of our own attempts
+    load_reports: int = 0
+    latency: QuantileSketch = field(default_factory=QuantileSketch)  # of answers, in ms
 
     @property
     def load(self) -> float | None:
-        return self.load_sum / self.loads if self.loads else None
+        return self.load_sum / self.load_reports if self.load_reports else None
 
     def merge(self, other: "Bucket") -> None:
         self.sends += other.sends
@@ -43,26 +43,28 @@
         self.full += other.full
         self.lost += other.lost
         self.moved += other.moved
-        self.passed += other.passed
-        self.load_most = max(self.load_most, other.load_most)
+        self.passed_over += other.passed_over
+        self.max_load = max(self.max_load, other.max_load)
         self.load_sum += other.load_sum
-        self.held_most = max(self.held_most, other.held_most)
-        self.loads += other.loads
+        self.max_held = max(self.max_held, other.max_held)
+        self.load_reports += other.load_reports
         self.latency.merge(other.latency)
 
-    def seal(self) -> bytes:
-        counts = (self.sends, self.ok, self.errors, self.full, self.lost, self.moved, self.passed)
-        loads = (self.load_most, self.load_sum, self.held_most, min(self.loads, 0xFFFF))
-        return HEAD.pack(self.at_us, *counts, *loads) + self.latency.encode()
+    def to_bytes(self) -> bytes:
+        counts = (self.sends, self.ok, self.errors, self.full, self.lost, self.moved, self.passed_over)
+        loads = (self.max_load, self.load_sum, self.max_held, min(self.load_reports, 0xFFFF))
+        return BUCKET_HEADER.pack(self.at_us, *counts, *loads) + self.latency.encode()
 
     @classmethod
-    def open(cls, data: bytes) -> "Bucket":
+    def from_bytes(cls, data: bytes) -> "Bucket":
         """Errors: ValueError."""
-        if len(data) < HEAD.size:
+        if len(data) < BUCKET_HEADER.size:
             raise ValueError("a bucket cut short")
-        at, sends, ok, errors, full, lost, moved, passed, most, total, held, loads = HEAD.unpack_from(data)
+        at, sends, ok, errors, full, lost, moved, passed, most, total, held, loads = (
+            BUCKET_HEADER.unpack_from(data)
+        )
         counts = (sends, ok, errors, full, lost, moved, passed)
-        return cls(at, *counts, most, total, held, loads, Sketch.decode(data[HEAD.size :]))
+        return cls(at, *counts, most, total, held, loads, QuantileSketch.decode(data[BUCKET_HEADER.size :]))
 
     def summary(self) -> dict[str, float | int | None]:
         """For views: counts, loads and latency in ms."""
@@ -75,15 +77,15 @@
             "full": self.full,
             "lost": self.lost,
             "moved": self.moved,
-            "passed": self.passed,
+            "passed": self.passed_over,
             "load": self.load,
-            "load_most": self.load_most if self.loads else None,
-            "held_most": self.held_most,
+            "load_most": self.max_load if self.load_reports else None,
+            "held_most": self.max_held,
             "p50_ms": self.latency.quantile(0.5) if answered else None,
             "p95_ms": self.latency.quantile(0.95) if answered else None,
         }
 
 
-def cost(sealed: bytes) -> int:
+def sealed_bucket_bytes(sealed: bytes) -> int:
     """The memory of a sealed bucket, in bytes."""
-    return len(sealed) + OBJECT_BYTES + PLACE_BYTES
+    return len(sealed) + BYTES_OBJECT_OVERHEAD + LIST_SLOT_BYTES
--- a/whintrail/timeline/store/index.py
+++ b/whintrail/timeline/store/index.py
@@ -10,43 +10,43 @@
 
 import msgspec
 
-from whintrail.timeline.store.frames import INDEX, Frame, FrameError, pack, unpack
+from whintrail.timeline.store.frames import INDEX, Frame, FrameError, decode_frame, encode_frame
 
-PARTS = 1 << 16  # bytes of an index frame: a large index takes several
+INDEX_FRAME_BYTES = 1 << 16  # bytes of an index frame: a large index takes several
 
 
 @dataclass(slots=True)
-class Places:
+class FrameLocations:
     """Frames of one engine, in the order written."""
 
     first_us: array[int] = field(default_factory=lambda: array("q"))
     last_us: array[int] = field(default_factory=lambda: array("q"))
-    at: array[int] = field(default_factory=lambda: array("Q"))
-    size: array[int] = field(default_factory=lambda: array("I"))
-    type: array[int] = field(default_factory=lambda: array("B"))
+    offsets: array[int] = field(default_factory=lambda: array("Q"))
+    sizes: array[int] = field(default_factory=lambda: array("I"))
+    types: array[int] = field(default_factory=lambda: array("B"))
 
     def columns(self) -> tuple[array[int], ...]:
-        return self.first_us, self.last_us, self.at, self.size, self.type
+        return self.first_us, self.last_us, self.offsets, self.sizes, self.types
 
 
 class Index:
     """Of one segment. `covers`: the bytes of the segment that it speaks of."""
 
     def __init__(self) -> None:
-        self.engines: defaultdict[str, Places] = defaultdict(Places)
+        self.engines: defaultdict[str, FrameLocations] = defaultdict(FrameLocations)
         self.first_us, self.last_us = 1 << 62, 0
-        self.covers = 0
-        self.frames = 0
+        self.covered_bytes = 0
+        self.frame_count = 0
 
-    def add(self, engine: str, type_: int, first_us: int, last_us: int, at: int, size: int) -> None:
+    def add(self, engine: str, type_: int, first_us: int, last_us: int, offset: int, size: int) -> None:
         places = self.engines[engine]
-        for column, value in zip(places.columns(), (first_us, last_us, at, size, type_), strict=True):
+        for column, value in zip(places.columns(), (first_us, last_us, offset, size, type_), strict=True):
             column.append(value)
         self.first_us, self.last_us = min(self.first_us, first_us), max(self.last_us, last_us)
-        self.covers = max(self.covers, at + size)
-        self.frames += 1
+        self.covered_bytes = max(self.covered_bytes, offset + size)
+        self.frame_count += 1
 
-    def find(
+    def find_frames(
         self, engine: str | None, types: frozenset[int], since: int, until: int
     ) -> Iterator[tuple[int, int]]:
         """Offset and size of the frames that may hold what is asked for, in the order written."""
@@ -57,50 +57,51 @@
             if places is None:
                 continue
             found += [
-                (places.at[i], places.size[i])
-                for i in range(len(places.at))
-                if places.type[i] in types and places.last_us[i] >= since and places.first_us[i] <= until
+                (places.offsets[i], places.sizes[i])
+                for i in range(len(places.offsets))
+                if places.types[i] in types and places.last_us[i] >= since and places.first_us[i] <= until
             ]
         return iter(found if engine is not None else sorted(found))
 
     def encode(self) -> bytes:
-        return b"".join(self.parts())
+        return b"".join(self.encode_frames())
 
-    def parts(self) -> Iterator[bytes]:
+    def encode_frames(self) -> Iterator[bytes]:
         """Frames of their own, each complete in itself."""
         part, size = dict[str, list[bytes]](), 0
         for name, places in self.engines.items():
             part[name] = [column.tobytes() for column in places.columns()]
             size += sum(map(len, part[name])) + len(name)
-            if size > PARTS:
-                yield self._frame(part)
+            if size > INDEX_FRAME_BYTES:
+                yield self._encode_frame(part)
                 part, size = {}, 0
-        yield self._frame(part)
+        yield self._encode_frame(part)
 
-    def _frame(self, part: dict[str, list[bytes]]) -> bytes:
-        return pack(
-            INDEX, msgspec.msgpack.encode([self.covers, self.first_us, self.last_us, self.frames, part])
+    def _encode_frame(self, part: dict[str, list[bytes]]) -> bytes:
+        return encode_frame(
+            INDEX,
+            msgspec.msgpack.encode([self.covered_bytes, self.first_us, self.last_us, self.frame_count, part]),
         )
 
     @classmethod
-    def decode(cls, data: bytes, covers: int) -> Index:
+    def decode(cls, data: bytes, covered_bytes: int) -> Index:
         """Errors: FrameError where it is damaged, or speaks of another length of the segment."""
         index, at, frames = cls(), 0, 0
         while at < len(data):
-            frame = unpack(data, at)
+            frame = decode_frame(data, at)
             at += frame.size
-            index._take(frame, covers)
-        frames = sum(len(places.at) for places in index.engines.values())
-        if index.covers != covers or frames != index.frames:
+            index._merge_frame(frame, covered_bytes)
+        frames = sum(len(places.offsets) for places in index.engines.values())
+        if index.covered_bytes != covered_bytes or frames != index.frame_count:
             raise FrameError("an index of another segment, or not whole")
         return index
 
-    def _take(self, frame: Frame, covers: int) -> None:
+    def _merge_frame(self, frame: Frame, covered_bytes: int) -> None:
         if frame.type != INDEX:
             raise FrameError("no index")
         try:
             found: Any = msgspec.msgpack.decode(frame.payload)
-            self.covers, self.first_us, self.last_us, self.frames, part = found
+            self.covered_bytes, self.first_us, self.last_us, self.frame_count, part = found
             for name, columns in part.items():
                 places = self.engines[name]
                 for column, data in zip(places.columns(), columns, strict=True):
--- a/whintrail/timeline/store/reader.py
+++ b/whintrail/timeline/store/reader.py
@@ -5,13 +5,17 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from whintrail.timeline.kinds import Happening, Row
+from whintrail.timeline.events import Detection, Row
 from whintrail.timeline.rollups import Bucket
 from whintrail.timeline.store import frames
 from whintrail.timeline.store.frames import Damage, Frame, FrameError
 from whintrail.timeline.store.index import Index
 
-EVENTS, ROLLUPS, JUDGED = frozenset({frames.EVENTS}), frozenset({frames.ROLLUP}), frozenset({frames.JUDGED})
+EVENT_TYPES, ROLLUP_TYPES, DETECTION_TYPES = (
+    frozenset({frames.EVENTS}),
+    frozenset({frames.ROLLUP}),
+    frozenset({frames.DETECTION}),
+)
 
 
 @dataclass(slots=True)
@@ -40,49 +44,53 @@
     classes: tuple[str, ...] = ()
     gateway: str = ""
 
-    def read(self, at: int, size: int) -> Frame | None:
+    def read_frame(self, offset: int, size: int) -> Frame | None:
         """None where the bytes have been damaged since they were indexed."""
         try:
-            return frames.unpack(os.pread(self.descriptor, size, at))
+            return frames.decode_frame(os.pread(self.descriptor, size, offset))
         except FrameError:
             return None
 
 
-def scan(data: bytes) -> tuple[Index, SegmentReport, tuple[str, tuple[str, ...]]]:
+def scan_segment(data: bytes) -> tuple[Index, SegmentReport, tuple[str, tuple[str, ...]]]:
     """The index of a segment from its bytes. Errors: FrameError where its header can't be used."""
     index, report = Index(), SegmentReport("", len(data))
     about: tuple[str, tuple[str, ...]] | None = None
-    for found in frames.walk(data):
+    for found in frames.scan_frames(data):
         if isinstance(found, Damage):
             report.damaged += 1
-            report.lost_bytes += found.until - found.at
+            report.lost_bytes += found.end - found.offset
             report.torn = found.torn
             continue
         report.frames += 1
-        if found.at == 0:  # a damaged header costs the classes' names only; another first frame is foreign
-            name, _, classes = frames.read_header(found)
+        if (
+            found.offset == 0
+        ):  # a damaged header costs the classes' names only; another first frame is foreign
+            name, _, classes = frames.decode_header(found)
             about = name, classes
         else:
-            add(index, found, report)
-    report.engines, index.covers = len(index.engines), len(data)
+            index_frame(index, found, report)
+    report.engines, index.covered_bytes = len(index.engines), len(data)
     return index, report, about or ("", ())
 
 
-def add(index: Index, frame: Frame, report: SegmentReport | None = None) -> None:
+def index_frame(index: Index, frame: Frame, report: SegmentReport | None = None) -> None:
     """Enter a frame; one of a kind that this version doesn't know is passed over."""
     try:
         if frame.type == frames.EVENTS:
-            engine, first, last, count = frames.events_span(frame)
-            index.add(engine, frame.type, first, last, frame.at, frame.size)
+            engine, first, last, count = frames.decode_events_span(frame)
+            index.add(engine, frame.type, first, last, frame.offset, frame.size)
             if report is not None:
                 report.events += count
         elif frame.type == frames.ROLLUP:
-            engine, _, sealed = frames.read_rollup(frame)
-            at_us = Bucket.open(sealed).at_us
-            index.add(engine, frame.type, at_us, at_us, frame.at, frame.size)
-        elif frame.type == frames.JUDGED:
-            happening = frames.read_judged(frame)
-            index.add(happening.engine, frame.type, happening.at_us, happening.at_us, frame.at, frame.size)
+            engine, _, sealed = frames.decode_rollup(frame)
+            at_us = Bucket.from_bytes(sealed).at_us
+            index.add(engine, frame.type, at_us, at_us, frame.offset, frame.size)
+        elif frame.type == frames.DETECTION:
+            happening = frames.decode_detection(frame)
+            index.add(
+                happening.engine, frame.type, happening.at_us, happening.at_us, frame.offset, frame.size
+            )
     except (FrameError, ValueError):
         if report is not None:
             report.damaged += 1
@@ -107,7 +115,7 @@
             except FileNotFoundError:
                 continue  # cleared away since it was listed
             try:
-                segment = cls._segment(path, descriptor)
+                segment = cls._open_segment(path, descriptor)
             except FrameError as error:
                 os.close(descriptor)
                 reader.skipped.append(f"{path.name}: {error}")
@@ -116,14 +124,14 @@
         return reader
 
     @staticmethod
-    def _segment(path: Path, descriptor: int) -> Segment:
+    def _open_segment(path: Path, descriptor: int) -> Segment:
         size = os.fstat(descriptor).st_size
         try:
             index = Index.decode(path.with_suffix(".idx").read_bytes(), size)
-            first = frames.unpack(os.pread(descriptor, 1 << 16, 0))
-            gateway, _, classes = frames.read_header(first)
+            first = frames.decode_frame(os.pread(descriptor, 1 << 16, 0))
+            gateway, _, classes = frames.decode_header(first)
         except (OSError, FrameError):  # no index yet, or a damaged one: the segment itself tells
-            index, _, (gateway, classes) = scan(os.pread(descriptor, size, 0))
+            index, _, (gateway, classes) = scan_segment(os.pread(descriptor, size, 0))
         return Segment(path, descriptor, index, classes, gateway)
 
     @property
@@ -137,37 +145,39 @@
         for segment in self.segments:
             if segment.index.last_us < since or segment.index.first_us > until:
                 continue
-            for at, size in segment.index.find(engine, types, since, until):
-                if (frame := segment.read(at, size)) is not None:
+            for at, size in segment.index.find_frames(engine, types, since, until):
+                if (frame := segment.read_frame(at, size)) is not None:
                     yield frame
 
     def rows(self, engine: str | None = None, since: int = 0, until: int = 1 << 62) -> Iterator[Row]:
         """Raw events, by the index; times in Unix microseconds."""
-        for frame in self._frames(engine, EVENTS, since, until):
-            for row in frames.read_events(frame):
+        for frame in self._frames(engine, EVENT_TYPES, since, until):
+            for row in frames.decode_events(frame):
                 if since <= row.at_us <= until:
                     yield row
 
     def scan_rows(self, engine: str, since: int = 0, until: int = 1 << 62) -> Iterator[Row]:
         """The same without the index: what it is measured against."""
         for segment in self.segments:
-            for frame in frames.walk(os.pread(segment.descriptor, os.fstat(segment.descriptor).st_size, 0)):
+            for frame in frames.scan_frames(
+                os.pread(segment.descriptor, os.fstat(segment.descriptor).st_size, 0)
+            ):
                 if isinstance(frame, Frame) and frame.type == frames.EVENTS:
-                    for row in frames.read_events(frame):
+                    for row in frames.decode_events(frame):
                         if row.engine == engine and since <= row.at_us <= until:
                             yield row
 
-    def happenings(
+    def detections(
         self, engine: str | None = None, since: int = 0, until: int = 1 << 62
-    ) -> Iterator[Happening]:
-        for frame in self._frames(engine, JUDGED, since, until):
-            yield frames.read_judged(frame)
+    ) -> Iterator[Detection]:
+        for frame in self._frames(engine, DETECTION_TYPES, since, until):
+            yield frames.decode_detection(frame)
 
     def rollups(self, engine: str, level: int, since: int = 0, until: int = 1 << 62) -> Iterator[Bucket]:
-        for frame in self._frames(engine, ROLLUPS, since, until):
-            _, found, sealed = frames.read_rollup(frame)
+        for frame in self._frames(engine, ROLLUP_TYPES, since, until):
+            _, found, sealed = frames.decode_rollup(frame)
             if found == level:
-                yield Bucket.open(sealed)
+                yield Bucket.from_bytes(sealed)
 
     def verify(self) -> Iterator[SegmentReport]:
         """Every byte of every segment looked at, and each index held against it."""
@@ -177,7 +187,7 @@
             except FileNotFoundError:
                 continue
             try:
-                index, report, _ = scan(data)
+                index, report, _ = scan_segment(data)
             except FrameError as error:
                 yield SegmentReport(path.name, len(data), fault=str(error))
                 continue
--- a/whintrail/timeline/store/writer.py
+++ b/whintrail/timeline/store/writer.py
@@ -11,15 +11,18 @@
 from pathlib import Path
 
 from whintrail.timeline.core import Timeline
-from whintrail.timeline.errors import StoreOff
-from whintrail.timeline.kinds import Happening
+from whintrail.timeline.errors import StoreUnavailable
+from whintrail.timeline.events import Detection
 from whintrail.timeline.store import frames
 from whintrail.timeline.store.frames import FrameError
 from whintrail.timeline.store.index import Index
-from whintrail.timeline.store.reader import scan
+from whintrail.timeline.store.reader import scan_segment
 
 Work = Generator[None, None, None]
-BATCH, GROUPED = 256, 16_384  # raw events read in one step, and grouped by engine into frames
+READ_BATCH_ROWS, MAX_GROUPED_ROWS = (
+    256,
+    16_384,
+)  # raw events read in one step, and grouped by engine into frames
 STORED_LEVELS = (1, 2)  # roll-ups that are kept on disk: 10 s and 1 min
 
 
@@ -33,47 +36,51 @@
     def __init__(
         self,
         directory: str | Path,
-        name: str,
+        gateway_name: str,
         classes: tuple[str, ...],
         segment_bytes: int,
         keep_bytes: int,
         keep_us: int,
         now: Callable[[], int],
     ) -> None:
-        self.directory, self.name, self.classes = Path(directory), name, classes
+        self.directory, self.gateway_name, self.classes = Path(directory), gateway_name, classes
         self.segment_bytes, self.keep_bytes, self.keep_us, self.now = segment_bytes, keep_bytes, keep_us, now
-        self.cursor = 0  # the next raw event to be written
-        self.missed = 0  # raw events that were gone before they were written
-        self.events = self.written = self.dropped_segments = 0
-        self.rolled: dict[tuple[int, int], int] = {}  # the last bucket on disk, by slot and level
-        self.off: str | None = None
-        self.descriptor = self.lock = -1
+        self.next_row = 0  # the next raw event to be written
+        self.missed_events = 0  # raw events that were gone before they were written
+        self.events_written = self.bytes_written = self.deleted_segments = 0
+        self.last_stored_buckets: dict[
+            tuple[int, int], int
+        ] = {}  # the last bucket on disk, by slot and level
+        self.off_reason: str | None = None
+        self.descriptor = self.lock_descriptor = -1
         try:
             self.directory.mkdir(parents=True, exist_ok=True)
-            self.lock = os.open(self.directory / "lock", os.O_RDWR | os.O_CREAT, 0o644)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self.number = max((segment_number(path) for path in self.directory.glob("*.seg")), default=0)
-            self._begin()
+            self.lock_descriptor = os.open(self.directory / "lock", os.O_RDWR | os.O_CREAT, 0o644)
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.current_number = max(
+                (segment_number(path) for path in self.directory.glob("*.seg")), default=0
+            )
+            self._begin_segment()
         except BlockingIOError as error:
-            raise self._end(f"{directory}: another gateway writes here") from error
+            raise self._disable(f"{directory}: another gateway writes here") from error
         except OSError as error:
-            raise self._end(str(error)) from error
+            raise self._disable(str(error)) from error
 
     # --- Segments.
 
     @property
-    def path(self) -> Path:
-        return self.directory / f"{self.number:012d}.seg"
+    def segment_path(self) -> Path:
+        return self.directory / f"{self.current_number:012d}.seg"
 
-    def _begin(self) -> None:
-        self.number += 1
-        self.descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o644)
-        self.index, self.size = Index(), 0
-        self._append(frames.header(self.name, self.now(), self.classes))
+    def _begin_segment(self) -> None:
+        self.current_number += 1
+        self.descriptor = os.open(self.segment_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o644)
+        self.segment_index, self.segment_size = Index(), 0
+        self._append(frames.encode_header(self.gateway_name, self.now(), self.classes))
 
     def _append(self, data: bytes) -> int:
         """Where the frame begins. Errors: StoreOff; half a frame is taken back."""
-        at = self.size
+        at = self.segment_size
         try:
             done = 0
             while done < len(data):
@@ -81,21 +88,21 @@
         except OSError as error:
             with suppress(OSError):  # else a torn tail, which every reader finds
                 os.ftruncate(self.descriptor, at)
-            raise self._end(str(error)) from error
-        self.size += len(data)
-        self.written += len(data)
+            raise self._disable(str(error)) from error
+        self.segment_size += len(data)
+        self.bytes_written += len(data)
         return at
 
-    def _end(self, why: str) -> StoreOff:
-        self.off = why
+    def _disable(self, reason: str) -> StoreUnavailable:
+        self.off_reason = reason
         self.close()
-        return StoreOff(why)
+        return StoreUnavailable(reason)
 
     def close(self) -> None:
-        for descriptor in (self.descriptor, self.lock):
+        for descriptor in (self.descriptor, self.lock_descriptor):
             if descriptor >= 0:
                 os.close(descriptor)
-        self.descriptor = self.lock = -1
+        self.descriptor = self.lock_descriptor = -1
 
     def sync(self) -> None:
         """Blocks: for a thread. Errors: OSError."""
@@ -108,104 +115,108 @@
 
     # --- Work, in steps.
 
-    def flush(self, timeline: Timeline) -> Work:
+    def write_events(self, timeline: Timeline) -> Work:
         """Raw events since the last flush, grouped by engine."""
-        columns, names = timeline.record.columns, timeline.record.names
-        end = columns.next
-        while self.cursor < end and self.off is None:
+        columns, names = timeline.history.columns, timeline.history.slot_names
+        end = columns.next_number
+        while self.next_row < end and self.off_reason is None:
             by_slot: dict[int, list[tuple[int, int, int, int, float, float]]] = {}
-            until = min(end, self.cursor + GROUPED)
-            while self.cursor < until:
-                rows, self.cursor, gone = columns.after(self.cursor, min(BATCH, until - self.cursor))
-                self.missed += gone
+            until = min(end, self.next_row + MAX_GROUPED_ROWS)
+            while self.next_row < until:
+                rows, self.next_row, gone = columns.read_from(
+                    self.next_row, min(READ_BATCH_ROWS, until - self.next_row)
+                )
+                self.missed_events += gone
                 for row in rows:
                     by_slot.setdefault(row[1], []).append(row)
                 yield
             for slot, found in by_slot.items():
                 engine = names.get(slot, f"#{slot}")
                 while found:
-                    part = [row for row in found if row[0] - found[0][0] < frames.SPAN_US]
-                    self._events(engine, part)
+                    part = [row for row in found if row[0] - found[0][0] < frames.MAX_FRAME_SPAN_US]
+                    self._write_event_frame(engine, part)
                     found = found[len(part) :]
                 yield
-            if self.size >= self.segment_bytes:
+            if self.segment_size >= self.segment_bytes:
                 yield from self.rotate()
 
-    def _events(self, engine: str, rows: list[tuple[int, int, int, int, float, float]]) -> None:
-        data = frames.events(engine, rows)
+    def _write_event_frame(self, engine: str, rows: list[tuple[int, int, int, int, float, float]]) -> None:
+        data = frames.encode_events(engine, rows)
         at = self._append(data)
-        self.index.add(engine, frames.EVENTS, rows[0][0], rows[-1][0], at, len(data))
-        self.events += len(rows)
+        self.segment_index.add(engine, frames.EVENTS, rows[0][0], rows[-1][0], at, len(data))
+        self.events_written += len(rows)
 
-    def judged(self, happenings: Iterable[Happening]) -> Work:
-        for happening in happenings:
-            if self.off is not None:
+    def write_detections(self, detections: Iterable[Detection]) -> Work:
+        for happening in detections:
+            if self.off_reason is not None:
                 return
-            data = frames.judged(happening)
+            data = frames.encode_detection(happening)
             at = self._append(data)
-            self.index.add(happening.engine, frames.JUDGED, happening.at_us, happening.at_us, at, len(data))
+            self.segment_index.add(
+                happening.engine, frames.DETECTION, happening.at_us, happening.at_us, at, len(data)
+            )
             yield
 
-    def roll(self, timeline: Timeline) -> Work:
+    def write_rollups(self, timeline: Timeline) -> Work:
         """Buckets that were sealed since the last time."""
         slots = set()
-        for track in list(timeline.record.tracks.values()):
+        for track in list(timeline.history.tracks.values()):
             slots.add(track.slot)
             for level in STORED_LEVELS:
-                last = self.rolled.get((track.slot, level), -1)
-                for sealed in list(track.sealed[level]):
+                last = self.last_stored_buckets.get((track.slot, level), -1)
+                for sealed in list(track.sealed_buckets[level]):
                     at_us = int.from_bytes(sealed[:8], "little")
-                    if at_us <= last or self.off is not None:
+                    if at_us <= last or self.off_reason is not None:
                         continue
-                    data = frames.rollup(track.engine, level, sealed)
+                    data = frames.encode_rollup(track.engine, level, sealed)
                     at = self._append(data)
-                    self.index.add(track.engine, frames.ROLLUP, at_us, at_us, at, len(data))
-                    self.rolled[track.slot, level] = at_us
+                    self.segment_index.add(track.engine, frames.ROLLUP, at_us, at_us, at, len(data))
+                    self.last_stored_buckets[track.slot, level] = at_us
             yield
-        for key in [key for key in self.rolled if key[0] not in slots]:
-            del self.rolled[key]
+        for key in [key for key in self.last_stored_buckets if key[0] not in slots]:
+            del self.last_stored_buckets[key]
 
     def rotate(self) -> Work:
         """Close the segment, write its index, begin the next."""
-        path, index, descriptor = self.path, self.index, self.descriptor
-        index.covers = self.size
+        path, index, descriptor = self.segment_path, self.segment_index, self.descriptor
+        index.covered_bytes = self.segment_size
         try:
-            self._begin()
+            self._begin_segment()
         except OSError as error:
-            raise self._end(str(error)) from error
+            raise self._disable(str(error)) from error
         os.close(descriptor)
         yield
         yield from self._write_index(path, index)
-        yield from self.clear()
+        yield from self.delete_expired()
 
     def _write_index(self, path: Path, index: Index) -> Work:
         """Whole or not at all: a reader never sees half an index."""
         temporary = path.with_suffix(".tmp")
         try:
             with open(temporary, "wb") as file:
-                for part in index.parts():
+                for part in index.encode_frames():
                     file.write(part)
                     yield
             temporary.replace(path.with_suffix(".idx"))
         except OSError as error:
-            raise self._end(str(error)) from error
+            raise self._disable(str(error)) from error
 
-    def index_old(self) -> Work:
+    def index_old_segments(self) -> Work:
         """Segments without an index, as after a kill; the one in hand is not among them."""
         for path in sorted(self.directory.glob("*.seg")):
-            if path == self.path or path.with_suffix(".idx").exists() or self.off is not None:
+            if path == self.segment_path or path.with_suffix(".idx").exists() or self.off_reason is not None:
                 continue
             try:
                 data = path.read_bytes()
                 yield
-                index, _, _ = scan(data)
+                index, _, _ = scan_segment(data)
             except (OSError, FrameError):
                 continue
             yield
-            index.covers = len(data)
+            index.covered_bytes = len(data)
             yield from self._write_index(path, index)
 
-    def clear(self) -> Work:
+    def delete_expired(self) -> Work:
         """Delete what is over the stated bytes or age, the oldest first."""
         found = []
         for path in sorted(self.directory.glob("*.seg")):
@@ -218,13 +229,13 @@
         total = sum(size for _, size, _ in found)
         for path, size, written_us in found:
             too_old = self.now() - written_us > self.keep_us
-            if path == self.path or not (total > self.keep_bytes or too_old):
+            if path == self.segment_path or not (total > self.keep_bytes or too_old):
                 continue
             try:
                 path.unlink(missing_ok=True)
                 path.with_suffix(".idx").unlink(missing_ok=True)
             except OSError as error:
-                raise self._end(str(error)) from error
+                raise self._disable(str(error)) from error
             total -= size
-            self.dropped_segments += 1
+            self.deleted_segments += 1
             yield
--- a/whintrail/versions/body.py
+++ b/whintrail/versions/rules.py
@@ -12,73 +12,73 @@
 import msgspec
 from msgspec import Meta
 
-MOST_BYTES = 65_536  # of a body as it travels
-NOBODY = -1  # a group of tables whose loads no gateway takes
+MAX_RULES_BYTES = 65_536  # of a body as it travels
+NO_GATEWAY = -1  # a group of tables whose loads no gateway takes
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 Group = Annotated[str, Meta(pattern=r"^[0-9]{1,9}$")]
-Home = Annotated[int, Meta(ge=NOBODY, le=0xFFFF)]
+GatewayNumber = Annotated[int, Meta(ge=NO_GATEWAY, le=0xFFFF)]
 T = TypeVar("T", int, int)
 
 
-class Body(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Absent means: anything goes. What only concerns one process (log, sockets, store) is no part of it."""
 
     shut: tuple[Name, ...] = ()  # engines to which nothing new goes
     paused: tuple[Name, ...] = ()  # classes of which nothing new is taken
     caps: dict[Name, Count] = {}  # queries of a class in hand at one gateway, at most
     wait_ms: dict[Name, Annotated[int, Meta(ge=1, le=86_400_000)]] = {}  # a class's longest time, at most
-    homes: dict[Group, Home] = {}  # the gateway that takes the loads of a group of tables, alone
+    homes: dict[Group, GatewayNumber] = {}  # the gateway that takes the loads of a group of tables, alone
     council: tuple[Annotated[int, Meta(ge=0, le=0xFFFF)], ...] = ()  # of the fleet; it has no order
 
 
-class BodyError(ValueError):
+class RulesError(ValueError):
     """The body can't be used, or can't follow on another; the text names the place and the reason."""
 
 
-def read_body(data: Any) -> Body:
+def parse_rules(data: Any) -> Rules:
     """From plain values, as a file gives them. Errors: BodyError."""
     try:
-        body: Body = msgspec.convert(data, Body)
+        body: Rules = msgspec.convert(data, Rules)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at ")
-        raise BodyError(f"{place.strip('`') or '$'}: {reason}") from error
-    return canonical(body)
+        raise RulesError(f"{place.strip('`') or '$'}: {reason}") from error
+    return canonicalize(body)
 
 
-def canonical(body: Body) -> Body:
+def canonicalize(rules: Rules) -> Rules:
     """Lists without order are sorted and told once; equal rules are equal bodies."""
-    return Body(
-        shut=tuple(sorted(set(body.shut))),
-        paused=tuple(sorted(set(body.paused))),
-        caps=dict(sorted(body.caps.items())),
-        wait_ms=dict(sorted(body.wait_ms.items())),
-        homes=dict(sorted(body.homes.items())),
-        council=tuple(sorted(set(body.council))),
+    return Rules(
+        shut=tuple(sorted(set(rules.shut))),
+        paused=tuple(sorted(set(rules.paused))),
+        caps=dict(sorted(rules.caps.items())),
+        wait_ms=dict(sorted(rules.wait_ms.items())),
+        homes=dict(sorted(rules.homes.items())),
+        council=tuple(sorted(set(rules.council))),
     )
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
+_decoder: msgspec.msgpack.Decoder[Rules] = msgspec.msgpack.Decoder(Rules)
 
 
-def encode(body: Body) -> bytes:
+def encode(rules: Rules) -> bytes:
     """Canonical bytes. Errors: BodyError where they are too many."""
-    data = _encoder.encode(canonical(body))
-    if len(data) > MOST_BYTES:
-        raise BodyError(f"$: {len(data)} bytes, {MOST_BYTES} at most")
+    data = _encoder.encode(canonicalize(rules))
+    if len(data) > MAX_RULES_BYTES:
+        raise RulesError(f"$: {len(data)} bytes, {MAX_RULES_BYTES} at most")
     return data
 
 
-def decode(data: bytes) -> Body:
+def decode(data: bytes) -> Rules:
     """Errors: BodyError, for bytes that are not canonical too: one body has one digest."""
     try:
         body = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise BodyError(f"$: {error}") from error
+        raise RulesError(f"$: {error}") from error
     if encode(body) != data:
-        raise BodyError("$: not in canonical form")
+        raise RulesError("$: not in canonical form")
     return body
 
 
@@ -90,52 +90,52 @@
 # --- Strictness.
 
 
-def _least(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
+def _merge_limits(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
     return {key: min(a.get(key, b.get(key, 0)), b.get(key, a.get(key, 0))) for key in {**a, **b}}
 
 
-def _homes(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
+def _merge_homes(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
     """Who serves nowhere else is stricter than anybody; two who contradict leave nobody."""
     found = dict(a)
     for group, home in b.items():
-        found[group] = home if found.get(group, home) == home else NOBODY
+        found[group] = home if found.get(group, home) == home else NO_GATEWAY
     return found
 
 
-def meet(a: Body, b: Body) -> Body:
+def merge_strict(a: Rules, b: Rules) -> Rules:
     """The stricter of both in each setting. Errors: BodyError where a setting has no order."""
     if a.council != b.council and a.council and b.council:
-        raise BodyError("$.council: it has no order, so no version lies between two of them")
-    return canonical(
-        Body(
+        raise RulesError("$.council: it has no order, so no version lies between two of them")
+    return canonicalize(
+        Rules(
             shut=a.shut + b.shut,
             paused=a.paused + b.paused,
-            caps=_least(a.caps, b.caps),
-            wait_ms=_least(a.wait_ms, b.wait_ms),
-            homes=_homes(a.homes, b.homes),
+            caps=_merge_limits(a.caps, b.caps),
+            wait_ms=_merge_limits(a.wait_ms, b.wait_ms),
+            homes=_merge_homes(a.homes, b.homes),
             council=a.council or b.council,
         )
     )
 
 
-def stricter(a: Body, b: Body) -> bool:
+def is_at_least_as_strict(a: Rules, b: Rules) -> bool:
     """Whether `a` allows nothing that `b` refuses."""
     try:
-        return meet(a, b) == canonical(a)
-    except BodyError:
+        return merge_strict(a, b) == canonicalize(a)
+    except RulesError:
         return False
 
 
-def between(a: Body, b: Body) -> Body:
+def transition_rules(a: Rules, b: Rules) -> Rules:
     """What is in force on the way from one version to the next: it allows only what both allow, so who still
     acts on the one, and who acts on the other, never allows what is refused here without a way to both.
     Errors: BodyError with the place and the reason, where there is none."""
-    found = meet(a, b)
+    found = merge_strict(a, b)
     encode(found)  # it has to travel as well
     return found
 
 
-def differences(a: Body, b: Body) -> Iterator[tuple[str, object, object]]:
+def differences(a: Rules, b: Rules) -> Iterator[tuple[str, object, object]]:
     """Where two bodies differ: path, before, after."""
     for name in ("shut", "paused"):
         before, after = set(getattr(a, name)), set(getattr(b, name))
@@ -150,20 +150,20 @@
         yield "$.council", list(a.council), list(b.council)
 
 
-def contradiction(a: Body, b: Body) -> list[str]:
+def conflicting_paths(a: Rules, b: Rules) -> list[str]:
     """Paths at which one allows what the other refuses."""
     return [path for path, _, _ in differences(a, b)]
 
 
-def check(body: Body, classes: frozenset[str], gateways: int) -> str:
+def find_unsupported(rules: Rules, classes: frozenset[str], gateway_count: int) -> str:
     """Why a gateway can't act on it; empty where it can."""
     for name in ("paused", "caps", "wait_ms"):
-        for key in getattr(body, name):
+        for key in getattr(rules, name):
             if key not in classes:
                 return f"$.{name}.{key}: no such class here"
-    for group, home in body.homes.items():
-        if home >= gateways:
-            return f"$.homes.{group}: gateway {home} is none of {gateways}"
-    if classes and classes <= set(body.paused):
+    for group, home in rules.homes.items():
+        if home >= gateway_count:
+            return f"$.homes.{group}: gateway {home} is none of {gateway_count}"
+    if classes and classes <= set(rules.paused):
         return "$.paused: every class"
     return ""
--- /dev/null
+++ b/whintrail/versions/service.py
@@ -0,0 +1,123 @@
+"""The versions' part of a fleet's node: member, guide where this process leads, and lists. Sans-I/O."""
+
+from collections.abc import Callable, Sequence
+from random import Random
+
+from whintrail.fleet.consensus import Consensus
+from whintrail.fleet.membership import Membership, MemberState
+from whintrail.fleet.state import VersionState
+from whintrail.fleet.wire import (
+    AnyMessage,
+    BodyChunk,
+    BodyRequest,
+    LeaseReply,
+    LeaseRequest,
+    ListExclusions,
+    ListRequest,
+    ListSummary,
+)
+from whintrail.versions.engine_list import EngineListState, ListComparison
+from whintrail.versions.leader import VersionLeader
+from whintrail.versions.member import RulesCheck, VersionMember, VersionTiming
+
+LIST_DIGEST_FANOUT, LIST_DIGEST_INTERVAL_US, NAMES_PER_MESSAGE, MAX_NAMES_SENT = 2, 1_000_000, 3, 64
+Send = Callable[[int | None, AnyMessage], None]
+
+
+class VersionService:
+    def __init__(
+        self,
+        timing: VersionTiming,
+        local_number: int,
+        random: Random,
+        check_rules: RulesCheck,
+        members: Membership,
+        send: Send,
+    ) -> None:
+        self.timing, self.local_number, self.random, self.members, self.send = (
+            timing,
+            local_number,
+            random,
+            members,
+            send,
+        )
+        self.member = VersionMember(random, check_rules, timing)
+        self.engine_list = EngineListState(timing.list_silence_timeout_us)
+        self.leader: VersionLeader | None = None
+        self.consensus: Consensus | None = None
+        self.committed = VersionState()
+        self.next_list_digest_at = 0
+
+    def become_leader(self, now: int, consensus: Consensus) -> None:
+        self.leader, self.consensus = VersionLeader(now, self.timing), consensus
+
+    def alive_members(self) -> Sequence[int]:
+        return self.members.by_state[MemberState.ALIVE]
+
+    def birth_of(self, number: int) -> int:
+        return self.members.members[number].boot_id
+
+    def unready_members(self, now: int) -> list[int]:
+        """On the leader: whom a proposal waits for."""
+        if self.leader is None or self.committed.next is None:
+            return []
+        return self.leader.unready_members(now, self.committed, self.alive_members(), self.birth_of)
+
+    def handle_message(self, now: int, origin: int, boot_id: int, message: AnyMessage) -> None:
+        match message:
+            case LeaseRequest():
+                if self.leader is not None and self.consensus is not None:
+                    sure = self.consensus.has_leader_lease(now)
+                    tell = self.leader.grant_lease(now, origin, boot_id, message, self.committed, sure)
+                    if tell is not None and origin == self.local_number:
+                        self.member.apply_lease(now, tell, self.committed)
+                    elif tell is not None:
+                        self.send(origin, tell)
+            case LeaseReply():
+                self.member.apply_lease(now, message, self.committed)
+            case BodyRequest():
+                if (piece := self.member.answer_pull(message)) is not None:
+                    self.send(origin, piece)
+            case BodyChunk():
+                self.member.receive_piece(now, origin, message)
+            case ListSummary(generation, digest):
+                if self.engine_list.compare(generation, digest) is ListComparison.BEHIND:
+                    self.send(origin, ListRequest(self.engine_list.generation))
+            case ListRequest(generation):
+                if self.engine_list.generation > generation:
+                    self._send_departing_engines(origin)
+            case ListExclusions(generation, names):
+                self.engine_list.apply_peer_exclusions(generation, names)
+
+    def _send_departing_engines(self, origin: int) -> None:
+        names = self.engine_list.departing_engines()[:MAX_NAMES_SENT]
+        for place in range(0, len(names), NAMES_PER_MESSAGE):
+            self.send(
+                origin,
+                ListExclusions(self.engine_list.generation, tuple(names[place : place + NAMES_PER_MESSAGE])),
+            )
+
+    def tick(self, now: int, committed: VersionState, leader_number: int | None) -> None:
+        """`target` leads, as far as it is known."""
+        self.committed = committed
+        member = self.member
+        member.fetch_missing(committed)
+        if member.store.fetching:
+            for of, pull in member.due_pulls(now, self.members.alive_peers()):
+                self.send(of, pull)
+        if now >= self.next_list_digest_at and self.engine_list.generation:
+            self.next_list_digest_at = now + LIST_DIGEST_INTERVAL_US
+            note = ListSummary(self.engine_list.generation, self.engine_list.digest)
+            others = self.members.alive_peers()
+            for other in self.random.sample(others, min(LIST_DIGEST_FANOUT, len(others))):
+                self.send(other, note)
+        if leader_number is not None and (ask := member.lease_request(now, committed)) is not None:
+            if leader_number == self.local_number:
+                self.handle_message(now, leader_number, self.birth_of(leader_number), ask)
+            else:
+                self.send(leader_number, ask)
+        if self.leader is not None and self.consensus is not None and not self.consensus.uncommitted:
+            count = len(self.members.members)
+            command = self.leader.tick(now, committed, self.alive_members(), count, self.birth_of)
+            if command is not None:
+                self.consensus.propose(now, command)
