--- a/whintrail/drill/__init__.py
+++ b/whintrail/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that puts the decision module on the bench's wire."""
+"""Adapter that connects the routing policy to the simulator's protocol."""
--- a/whintrail/drill/__main__.py
+++ b/whintrail/drill/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input, lets each instance decide, writes one reply a batch."""
+"""Reads batches of events on standard input, runs the routing policies, writes one reply for each batch."""
 
 import sys
 from typing import Any, BinaryIO
@@ -11,13 +11,14 @@
 
 
 class SimulatorAdapter:
-    """The instances of this process, each with its own module and nothing in common but the wire."""
+    """The gateway instances of this process; each has its own policy, only the engine lists are shared."""
 
     def __init__(self) -> None:
         self.engine_lists: dict[int, tuple[EngineEntry, ...]] = {}
         self.instances: dict[int, tuple[EventReader, RoutingPolicy]] = {}
 
     def _handle_events(self, number: int, now_us: int, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """Handle the events of one instance and return its actions as messages."""
         written: list[dict[str, Any]] = []
         try:
             for data in events:
@@ -26,22 +27,23 @@
                         self.engine_lists[data["SetId"]] = read_entries(data["Records"])
                     case "Start":
                         reader = EventReader(data["BootInfo"])
-                        gateway = RoutingPolicy(reader.settings, data["RandomSeed"], now_us)
-                        self.instances[number] = (reader, gateway)
-                        written += map(write_action, gateway.start())
+                        policy = RoutingPolicy(reader.settings, data["RandomSeed"], now_us)
+                        self.instances[number] = (reader, policy)
+                        written += map(write_action, policy.start())
                     case "Teardown":
                         self.instances.pop(number, None)
-                        written.clear()  # what a killed instance was about to do never happens
+                        written.clear()  # a killed instance carries out none of its pending actions
                     case _ if number in self.instances:
-                        reader, gateway = self.instances[number]
+                        reader, policy = self.instances[number]
                         event = reader.read_event(data, self.engine_lists)
                         if event is not None:
-                            written += map(write_action, gateway.handle(now_us, event))
-        except Exception as error:  # reported on the wire, which ends the day with this text
+                            written += map(write_action, policy.handle(now_us, event))
+        except Exception as error:  # reported to the simulator, which stops the run with this text
             return [write_fault(f"{type(error).__name__}: {error}")]
         return written
 
     def handle_batch(self, line: bytes) -> bytes:
+        """Handle one batch and return the reply; raises WireError if the line is not a batch."""
         try:
             batch = orjson.loads(line)
             frame, now_us, parts = batch["frame"], batch["NowUs"], batch["parts"]
@@ -55,9 +57,10 @@
 
 
 def run_adapter(source: BinaryIO, sink: BinaryIO) -> None:
-    drill = SimulatorAdapter()
+    """Answer each batch of the source until it ends."""
+    adapter = SimulatorAdapter()
     for line in source:
-        sink.write(drill.handle_batch(line) + b"\n")
+        sink.write(adapter.handle_batch(line) + b"\n")
         sink.flush()
 
 
--- a/whintrail/interface.py
+++ b/whintrail/interface.py
@@ -1,8 +1,8 @@
-"""What the decision module is told and what it may ask for, in the field's own terms.
+"""Events that the routing policy receives and actions that it returns.
 
-Times are microseconds on the caller's clock. A value that may be absent is None; zero means zero.
-Nothing here decides anything: every protocol, now or later, is translated to and from these types.
-Those made for every query are not frozen, only because a frozen one takes thrice as long to make.
+Times are microseconds on the caller's clock. An absent value is None; zero means zero. Every protocol is
+translated to and from these types, and nothing here takes a decision. Types made for every query are not
+frozen: a frozen dataclass takes three times as long to create.
 """
 
 from dataclasses import dataclass
@@ -24,6 +24,8 @@
 
 
 class EngineState(Enum):
+    """Whether an engine of the list may receive new queries."""
+
     REMOVED = "gone"
     READY = "ready"
     DRAINING = "draining"
@@ -39,7 +41,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a query does."""
+    """What running a query a second time does."""
 
     REPEATABLE = "repeatable"
     BY_KEY = "by key"
@@ -47,7 +49,7 @@
 
 
 class DedupScope(Enum):
-    """Engines that drop each other's repeats of a keyed query."""
+    """Engines among which repeats of a keyed query are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -55,7 +57,7 @@
 
 
 class StatusTopic(Enum):
-    """What a note on a running attempt is about."""
+    """What a status message about a running attempt reports."""
 
     PROGRESS = "progress"  # value: share done
     SPILL = "spill"  # value: megabytes missing
@@ -71,7 +73,7 @@
 
 
 class Reason(Enum):
-    """Why an engine was, or was not, given something: told for a record, beside the actions."""
+    """Why an engine was, or was not, given work; recorded beside the actions."""
 
     BACKING_OFF = "passed over: it rests"
     RECENTLY_FULL = "passed over: it was full"
@@ -96,13 +98,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
+    """Settings of one class of queries."""
+
     name: str
-    target_latency_us: int
-    target_latency_ratio: float
+    target_latency_us: int  # constant part of the latency to aim for
+    target_latency_ratio: float  # and the part in proportion to the query's own run time
     deadline_us: int
     effect: Effect
     dedup_scope: DedupScope
-    dedup_window_us: int
+    dedup_window_us: int  # how long engines drop repeats of a key
     worth: float
     late_share: float
     ordered_by_key: bool
@@ -115,16 +119,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its quota of queries."""
+
     name: str
     quota_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start and may act on."""
+    """Everything that an instance is given when it starts."""
 
     fleet_size: int
-    local_number: int  # this gateway's number among them, from 0
+    local_number: int  # number of this gateway in the fleet, from 0
     zone: str
     classes: tuple[QueryClass, ...]
     tenants: tuple[Tenant, ...]
@@ -133,8 +139,8 @@
     max_memory_grant_share: float
     memory_grants_honored: bool
     priorities_honored: bool
-    reports_cost: bool
-    progress_interval_us: int  # 0: no notes
+    reports_cost: bool  # answers report the work and the memory that a query took
+    progress_interval_us: int  # 0: engines send no progress
     report_source: ReportSource
     probes_allowed: bool
     cancel_allowed: bool
@@ -142,18 +148,18 @@
     peer_messages_allowed: bool  # messages between gateways
     retry_after: bool
     max_retry_after_us: int
-    max_attempts: int | None  # None: no limit stated
-    max_open: int | None  # queries that clients can have open here at once; None: no limit stated
-    keepalive_us: int  # idle connections to engines close after so long
+    max_attempts: int | None  # None: unlimited
+    max_open: int | None  # queries that clients can have open at this gateway; None: unlimited
+    keepalive_us: int  # idle connections to engines are closed after this time
     tick_us: int
     list_on_request: bool
     max_list_age_us: int | None
-    warmup_us: int
-    initial_capacity_share: float
-    overload_multiple: float | None  # None: no cold engine falls over here
+    warmup_us: int  # an engine is cold for this long after its start
+    initial_capacity_share: float  # capacity of an engine at its start
+    overload_multiple: float | None  # of its capacity, which makes a cold engine fail; None: none fails
     overload_window_us: int
     order_settle_us: int
-    retry_budget_ratio: float | None  # None: further attempts are not rationed
+    retry_budget_ratio: float | None  # None: no retry budget is set
     retry_budget_free: float
     retry_budget_window_us: int
     cross_zone_price: float
@@ -170,13 +176,13 @@
     weight: float
     state: EngineState
     started_us: int | None  # None: long ago
-    assigned_gateways: int | None = None  # gateways that keep it; None: all of the fleet
-    assignment_rank: int = 0  # this gateway's place among them, from 0
+    assigned_gateways: int | None = None  # gateways whose subset has the engine; None: the whole fleet
+    assignment_rank: int = 0  # position of this gateway among them, from 0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Values that an engine reported; None for those that it did not."""
+    """Values that an engine reported; None for those that it did not report."""
 
     utilisation: float | None = None
     active_queries: float | None = None
@@ -186,6 +192,8 @@
 
 @dataclass(slots=True)
 class QueryArrived:
+    """A client sent a query."""
+
     query: int
     class_name: str
     deadline_at_us: int
@@ -199,11 +207,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """The client of a query no longer waits for it."""
+
     query: int
 
 
 @dataclass(slots=True)
 class AttemptFinished:
+    """An attempt ended, with what the engine reported about it."""
+
     query: int
     attempt: int
     engine: str
@@ -217,6 +229,8 @@
 
 @dataclass(slots=True)
 class AttemptStatusReceived:
+    """An engine sent the status of a running attempt."""
+
     query: int
     attempt: int
     engine: str
@@ -226,6 +240,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFinished:
+    """A probe of an engine was answered or failed."""
+
     engine: str
     outcome: Outcome
     elapsed_us: int
@@ -234,18 +250,22 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """The time of a `SetTimer` action has come."""
+
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class EngineListReceived:
+    """A list of engines, a change of it, or a failure to fetch one."""
+
     kind: ListKind
     entries: tuple[EngineEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """A message from another gateway, as it came: it may be anything."""
+    """A message from another gateway, unchecked: the payload may hold any bytes."""
 
     sender: int
     payload: bytes
@@ -265,10 +285,12 @@
 
 @dataclass(slots=True)
 class SendAttempt:
+    """Send the query to an engine."""
+
     query: int
     engine: str
-    timeout_us: int  # 0: until the client gives up
-    start_by_us: int | None = None  # its first byte may go out no later; None: as long as it has time
+    timeout_us: int  # 0: until the client's deadline
+    start_by_us: int | None = None  # latest time for its first byte; None: its deadline
 
 
 @dataclass(slots=True)
@@ -282,13 +304,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Cancel an attempt on its engine."""
+
     query: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseQuery:
-    """Final answer: not run, a retry does no harm."""
+    """Final answer: the query was not run, a retry is harmless."""
 
     query: int
     retry_after_us: int | None
@@ -296,19 +320,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FailQuery:
-    """Final answer without any assurance."""
+    """Final answer without any assurance: the query may have run."""
 
     query: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
+    """Ask an engine for its load report."""
+
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """At most 256 bytes to another gateway, None: to all others; nothing tells whether they arrive."""
+    """At most 256 bytes to one gateway, or to all others if target is None; delivery is not confirmed."""
 
     target: int | None
     payload: bytes
@@ -316,12 +342,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Send `TimerFired` with this token at the given time."""
+
     token: str
     at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEngineList:
+    """Start or stop following the engine list."""
+
     enabled: bool
 
 
--- a/whintrail/settings.py
+++ b/whintrail/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings object, which the bench's wire and a gateway's configuration give in the same form."""
+"""Reads the settings document; the simulator and a gateway's configuration give it in the same form."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def get_or_default(data: Mapping[str, Any], name: str, default: Any) -> Any:
-    """The member, or the default where it is absent or null; zero is a value."""
+    """The member, or the default if it is absent or null; zero counts as a value."""
     value = data.get(name)
     return default if value is None else value
 
@@ -25,6 +25,7 @@
 
 
 def read_settings(document: Mapping[str, Any]) -> Settings:
+    """Read the settings; unknown members are ignored and absent ones get their defaults."""
     family = get_or_default(document, "FamilyInfo", {})
     limits = get_or_default(document, "Limits", {})
     rules = get_or_default(document, "Rules", {})
@@ -98,12 +99,12 @@
 
 
 def report_fields(document: Mapping[str, Any]) -> tuple[str, ...]:
-    """The names of the values in a load report, in their order."""
+    """Names of the values in a load report, in their order."""
     return tuple(get_or_default(get_or_default(document, "Reporting", {}), "Fields", []))
 
 
 def read_report(values: Mapping[str, float]) -> LoadReport:
-    """A report by the names of its values; names that mean nothing here are skipped."""
+    """Read a load report from values by name; unknown names are ignored."""
     return LoadReport(
         values.get("cpu_share"), values.get("busy_reqs"), values.get("pending"), values.get("x0")
     )
