--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""Which tests run one after another, in one worker, where `make test` runs the others beside them."""
+"""Names the test modules that run in one worker, one after another, while others run in parallel."""
 
 import pytest
 
 pytest_plugins = ["tests.known_red"]
 
-# They start processes, or hold events on real sockets to times of the machine's clock: two at once would only
-# measure one another.
+# They start processes, or compare events on real sockets with the machine's clock: running two at once would
+# distort the times that they measure.
 SERIAL_TEST_MODULES = frozenset(
     [
         "test_class_names",
@@ -33,7 +33,7 @@
 )
 
 
-@pytest.hookimpl(tryfirst=True)  # before the workers read the groups
+@pytest.hookimpl(tryfirst=True)  # the workers read the groups after this
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
         if item.path.stem in SERIAL_TEST_MODULES:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, engines and a small driver for tests of the decision module alone."""
+"""Settings, engines and a small driver for tests of the routing policy alone."""
 
 from dataclasses import replace
 from typing import Any
@@ -75,18 +75,18 @@
 
 
 class PolicyDriver:
-    """Feeds one gateway and remembers what it asked for."""
+    """Sends events to one routing policy and keeps its actions."""
 
-    def __init__(self, given: api.Settings, *entries: api.EngineEntry, seed: int = 7) -> None:
+    def __init__(self, policy_settings: api.Settings, *entries: api.EngineEntry, seed: int = 7) -> None:
         self.now = 100 * SECOND
-        self.policy = RoutingPolicy(given, seed, self.now)
+        self.policy = RoutingPolicy(policy_settings, seed, self.now)
         self.actions: list[api.Action] = list(self.policy.start())
         self.receive_engine_list(*entries, kind=api.ListKind.CACHED)
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        given = self.policy.handle(self.now, event)
-        self.actions += given
-        return given
+        actions = self.policy.handle(self.now, event)
+        self.actions += actions
+        return actions
 
     def receive_engine_list(
         self, *entries: api.EngineEntry, kind: api.ListKind = api.ListKind.FULL
@@ -118,18 +118,18 @@
         return self.handle(api.ProbeFinished(address, api.Outcome.OK, 1000, api.LoadReport(**values)))
 
     def advance(self, us: int) -> list[api.Action]:
-        """Time passes; the gateway's own timers fire."""
-        given: list[api.Action] = []
+        """Advance the clock and fire the sweep timer every 50 ms."""
+        actions: list[api.Action] = []
         until = self.now + us
         while self.now < until:
             self.now = min(until, self.now + 50_000)
-            given += self.handle(api.TimerFired(SWEEP_TIMER))
-        return given
+            actions += self.handle(api.TimerFired(SWEEP_TIMER))
+        return actions
 
     def serve_queries(
         self, name: str = "short", count: int = 40, first: int = 10_000, **changes: Any
     ) -> None:
-        """Queries of the usual cost, each answered at once."""
+        """Send queries of the usual cost, each answered at once."""
         for number in range(first, first + count):
             self.arrive_query(number, name, **changes)
             self.finish_attempt(number, api.Outcome.OK)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Passes over the tests that KNOWN-RED.txt names, and over nothing else.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures; all other tests must pass.
 
-A line is `test | cause | issue`: a test that fails for a real fault which could not be mended in the sitting
-that found it. Three lines at most. A listed test that passes fails the run, and so does a line that names no
-test of a whole run: what is mended leaves the list in the same commit.
+A line is `test | cause | issue`: a test that fails because of a real, known fault. Three lines at most. A
+listed test that passes fails the run, and so does a line that names no test, if all tests are run: the commit
+that fixes a fault also removes its line.
 """
 
 from collections.abc import Iterable
@@ -11,11 +11,12 @@
 
 import pytest
 
-LIST_FILE, MAX_LISTED_TESTS = "KNOWN-RED.txt", 3
+LIST_FILE = "KNOWN-RED.txt"
+MAX_LISTED_TESTS = 3
 
 
 def read_list(root: Path) -> dict[str, str]:
-    """Tests with their cause and issue; UsageError where the list is not as agreed."""
+    """Read the listed tests with their cause and issue; raises UsageError if a line is invalid."""
     path = root / LIST_FILE
     listed: dict[str, str] = {}
     for line in path.read_text().splitlines() if path.exists() else ():
@@ -31,28 +32,28 @@
 
 
 def _unknown_tests_message(config: pytest.Config, listed: Iterable[str]) -> str:
-    """What to say where a whole run collected all but these."""
+    """The error if a run of all tests did not collect these; empty in a run of some tests."""
     paths = [Path(str(arg).split("::")[0]).name for arg in config.args]
-    whole = not any(path.endswith(".py") for path in paths) and not config.option.keyword
-    return f"{LIST_FILE}: no such test: {', '.join(listed)}" if whole and listed else ""
+    all_tests = not any(path.endswith(".py") for path in paths) and not config.option.keyword
+    return f"{LIST_FILE}: no such test: {', '.join(listed)}" if all_tests and listed else ""
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    read_list(config.rootpath)  # before any worker starts: an error there would hide its reason
+    read_list(config.rootpath)  # before any worker starts: an error in a worker is not shown
 
 
-@pytest.hookimpl(tryfirst=True)  # by the names as they are listed, before workers add the group to them
+@pytest.hookimpl(tryfirst=True)  # before workers add the group to the test names
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     listed = read_list(config.rootpath)
     for item in items:
-        if (why := listed.pop(item.nodeid, None)) is not None:
-            item.add_marker(pytest.mark.xfail(reason=why, strict=True))
-    if not hasattr(config, "workerinput") and (says := _unknown_tests_message(config, listed)):
-        raise pytest.UsageError(says)
+        if (cause := listed.pop(item.nodeid, None)) is not None:
+            item.add_marker(pytest.mark.xfail(reason=cause, strict=True))
+    if not hasattr(config, "workerinput") and (message := _unknown_tests_message(config, listed)):
+        raise pytest.UsageError(message)
 
 
 class WorkerCollection:
-    """Where workers collect: what they found is compared in the process that started them."""
+    """If workers collect the tests, the process that started them compares the names with the list."""
 
     unknown_message = ""
 
@@ -74,7 +75,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for test, why in read_list(Path(terminalreporter.config.rootpath)).items():
-        terminalreporter.write_line(f"known red: {test}: {why}")
+    for test, cause in read_list(Path(terminalreporter.config.rootpath)).items():
+        terminalreporter.write_line(f"known red: {test}: {cause}")
     if worker_collection.unknown_message:
         terminalreporter.write_line(f"ERROR: {worker_collection.unknown_message}")
--- a/tests/test_class_names.py
+++ b/tests/test_class_names.py
@@ -1,4 +1,4 @@
-"""Names of classes that would break an engine's line or the comment ahead of a statement."""
+"""Class names that would break a request line to an engine or the comment before a statement."""
 
 from pathlib import Path
 from typing import Any
@@ -47,7 +47,7 @@
 
 
 def parse_request(line: bytes) -> dict[str, str]:
-    """The fields of a request, as the protocol has them."""
+    """Parse the fields of a request as an engine does."""
     head, _, _ = line.partition(b"\r\n")
     word, id, fields, length = head.split(b" ")
     assert (word, id, length) == (b"do", CALL_ID, b"8")
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("name", [*UNSAFE_NAMES, None, 7, ["a"]])
-def test_a_name_that_would_break_a_line_is_refused(name: Any) -> None:
+def test_a_name_that_would_break_a_line_is_rejected(name: Any) -> None:
     with pytest.raises(ValueError, match=r"\Aclass "):
         engine_protocol.check_class_name(name)
 
@@ -85,10 +85,10 @@
 
 
 @pytest.mark.parametrize("name", ["night run", "a,b", "a\nb", "*/", "", 7])
-def test_the_program_refuses_such_a_class_by_name_in_one_line(name: object, tmp_path: Path) -> None:
-    given = settings()
-    given["Classes"][1]["Name"] = name
-    gateway = Gateway({"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": given}, tmp_path)
+def test_the_program_rejects_such_a_class_name_in_one_line(name: object, tmp_path: Path) -> None:
+    document = settings()
+    document["Classes"][1]["Name"] = name
+    gateway = Gateway({"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": document}, tmp_path)
     assert gateway.process.wait(PATIENCE_S) == 1
     (line,) = gateway.text().splitlines()
     assert f"ValueError: class {name!r}".replace("\\", "") in line.replace("\\", "")
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -58,7 +58,7 @@
     return driver.arrive_query(query, "long", cost_us=2.0 * SECOND, deadline_at_us=driver.now + 60 * SECOND)
 
 
-def test_the_bound_binds_only_under_pressure_and_never_an_idle_engine() -> None:
+def test_heavy_queries_are_limited_only_under_pressure() -> None:
     driver = trained_driver(engine("a"))
     for number in range(6):
         assert sends(arrive_long_query(driver, number))  # no pressure, no limit
@@ -107,7 +107,7 @@
     assert final_answers(driver.actions, 2) == final_answers(driver.actions, 4) == [api.RefuseQuery]
 
 
-def test_light_queries_are_bounded_under_pressure() -> None:
+def test_light_queries_are_limited_under_pressure() -> None:
     driver = PolicyDriver(settings(), engine("a"))
     driver.serve_queries()
     for number in range(100):
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The codec against every event and action of the wire, and the adapter as a process."""
+"""The codec with every event and action of the simulator's protocol, and the adapter as a process."""
 
 import json
 import subprocess
@@ -91,9 +91,9 @@
     return EventReader(SETTINGS_DOCUMENT).read_event(message, {3: read_entries(LIST_RECORDS)})
 
 
-def test_settings_are_read_and_unknown_ones_skipped() -> None:
-    given = EventReader(SETTINGS_DOCUMENT).settings
-    fetch, write = given.classes
+def test_settings_are_read_and_unknown_ones_ignored() -> None:
+    settings = EventReader(SETTINGS_DOCUMENT).settings
+    fetch, write = settings.classes
     assert (fetch.effect, fetch.dedup_scope, fetch.ordered_by_key) == (
         api.Effect.BY_KEY,
         api.DedupScope.ZONE,
@@ -102,18 +102,22 @@
     assert (fetch.zones, fetch.kinds, fetch.threads) == (("west",), ("tall",), 1)
     assert (fetch.blocked_by_loads, write.is_load, write.threads) == (True, True, 2)
     assert (write.effect, write.zones, write.target_latency_us) == (api.Effect.ONCE, None, 9_000_000)
-    assert given.kind_cores == {"tall": 4, "wide": 16}
-    assert given.kind_memory_mb == {"tall": 8192.0, "wide": 65536.0}
-    assert given.list_on_request and given.report_source is api.ReportSource.ANSWERS
-    assert not given.concurrent_attempts_allowed and given.max_attempts == 3
-    assert given.retry_budget_ratio == 0.0 and given.retry_budget_free == 5
-    assert given.tenants == (api.Tenant("org1", 10.0),)
+    assert settings.kind_cores == {"tall": 4, "wide": 16}
+    assert settings.kind_memory_mb == {"tall": 8192.0, "wide": 65536.0}
+    assert settings.list_on_request and settings.report_source is api.ReportSource.ANSWERS
+    assert not settings.concurrent_attempts_allowed and settings.max_attempts == 3
+    assert settings.retry_budget_ratio == 0.0 and settings.retry_budget_free == 5
+    assert settings.tenants == (api.Tenant("org1", 10.0),)
 
 
 def test_absent_settings_are_absent_not_zero() -> None:
-    given = EventReader({}).settings
-    assert given.retry_budget_ratio is None and given.overload_multiple is None and given.max_attempts is None
-    assert given.classes == () and given.fleet_size == 1 and not given.probes_allowed
+    settings = EventReader({}).settings
+    assert (
+        settings.retry_budget_ratio is None
+        and settings.overload_multiple is None
+        and settings.max_attempts is None
+    )
+    assert settings.classes == () and settings.fleet_size == 1 and not settings.probes_allowed
 
 
 @pytest.mark.parametrize(
@@ -243,9 +247,9 @@
 
 
 def test_instances_share_nothing_but_the_numbered_lists() -> None:
-    drill = SimulatorAdapter()
+    adapter = SimulatorAdapter()
     reply = json.loads(
-        drill.handle_batch(
+        adapter.handle_batch(
             encode_batch(
                 1,
                 0,
@@ -255,28 +259,30 @@
         )
     )
     assert reply["frame"] == 1 and [part["I"] for part in reply["parts"]] == [1, 2]
-    reply = json.loads(drill.handle_batch(encode_batch(2, 10, (2, [QUERY_EVENT]))))
+    reply = json.loads(adapter.handle_batch(encode_batch(2, 10, (2, [QUERY_EVENT]))))
     assert [part["I"] for part in reply["parts"]] == [2]
     assert [c["event_type"] for c in reply["parts"][0]["cmds"]] == ["Tune", "PassOn"]
-    assert drill.instances[1][1].queries == {}
-    assert json.loads(drill.handle_batch(encode_batch(3, 20))) == {"frame": 3, "parts": []}
+    assert adapter.instances[1][1].queries == {}
+    assert json.loads(adapter.handle_batch(encode_batch(3, 20))) == {"frame": 3, "parts": []}
 
 
 def test_a_killed_instance_forgets_everything_and_may_start_again() -> None:
-    drill = SimulatorAdapter()
-    drill.handle_batch(encode_batch(1, 0, (1, [START_EVENT, REGISTER_EVENT, CACHED_LIST_EVENT, QUERY_EVENT])))
+    adapter = SimulatorAdapter()
+    adapter.handle_batch(
+        encode_batch(1, 0, (1, [START_EVENT, REGISTER_EVENT, CACHED_LIST_EVENT, QUERY_EVENT]))
+    )
     reply = json.loads(
-        drill.handle_batch(encode_batch(2, 10, (1, [{"event_type": "Teardown"}, QUERY_EVENT])))
+        adapter.handle_batch(encode_batch(2, 10, (1, [{"event_type": "Teardown"}, QUERY_EVENT])))
     )
-    assert reply["parts"] == [] and drill.instances == {}
-    drill.handle_batch(encode_batch(3, 20, (1, [START_EVENT, CACHED_LIST_EVENT])))
-    assert drill.instances[1][1].queries == {}
+    assert reply["parts"] == [] and adapter.instances == {}
+    adapter.handle_batch(encode_batch(3, 20, (1, [START_EVENT, CACHED_LIST_EVENT])))
+    assert adapter.instances[1][1].queries == {}
 
 
 def test_an_exception_is_reported_as_a_fault() -> None:
-    drill = SimulatorAdapter()
-    drill.handle_batch(encode_batch(1, 0, (1, [START_EVENT, REGISTER_EVENT, CACHED_LIST_EVENT])))
-    reply = json.loads(drill.handle_batch(encode_batch(2, 10, (1, [{"event_type": "Knock", "Ref": 1}]))))
+    adapter = SimulatorAdapter()
+    adapter.handle_batch(encode_batch(1, 0, (1, [START_EVENT, REGISTER_EVENT, CACHED_LIST_EVENT])))
+    reply = json.loads(adapter.handle_batch(encode_batch(2, 10, (1, [{"event_type": "Knock", "Ref": 1}]))))
     assert [c["event_type"] for c in reply["parts"][0]["cmds"]] == ["Fatal"]
     assert "KeyError" in reply["parts"][0]["cmds"][0]["Message"]
 
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -1,8 +1,8 @@
-"""SIGHUP while the program starts and while it ends, forced by a module that the interpreter imports itself.
+"""SIGHUP while the program starts and while it exits, sent from a `sitecustomize` module.
 
-The program signals itself at a known place and goes on only when its signal has been delivered, so that the
-crossing is the same each time. Before it does, the configuration is renewed: a signal that is lost would
-leave the old one in force.
+The program sends the signal to itself at a given point and continues once it has been delivered, so that the
+race is the same in each run. The configuration file is replaced before that: if the signal were lost, the old
+configuration would stay in force.
 """
 
 import json
@@ -28,46 +28,43 @@
 SITECUSTOMIZE = """
 import atexit, builtins, os, signal, sys
 
-at, path = os.environ["CROSS_AT"], os.environ["RELAY_CONFIG"]
+at, path = os.environ["SIGNAL_AT"], os.environ["RELAY_CONFIG"]
 
-def cross():
+def reload():
     os.replace(path + ".new", path)
-    os.kill(os.getpid(), signal.SIGHUP)  # delivered to this thread, the only one, before the call returns
+    os.kill(os.getpid(), signal.SIGHUP)  # delivered to this, the only thread, before the call returns
 
 def at_import(name, args):
     global at
     if name == "import" and args[0] == at:
         at = None
-        cross()
+        reload()
 
 def after_reading():
     import orjson
     loads = orjson.loads
     def once(data):
         orjson.loads = loads
-        read = loads(data)
-        cross()
-        return read
+        value = loads(data)
+        reload()
+        return value
     orjson.loads = once
 
 if at == "read":
     after_reading()
 elif at == "end":
-    atexit.register(cross)
+    atexit.register(reload)
 else:
     sys.addaudithook(at_import)
 """
 
 
 class SignalScenario:
-    """A gateway that crosses, at a place, a configuration that names another bulletin and another engine."""
+    """A gateway that gets SIGHUP at a given point, with a new configuration that names another bulletin."""
 
     def __init__(self, folder: Path, at: str) -> None:
-        self.engines, self.old_bulletin, self.new_bulletin = (
-            [Engine("s-1"), Engine("s-2")],
-            Bulletin(),
-            Bulletin(),
-        )
+        self.engines = [Engine("s-1"), Engine("s-2")]
+        self.old_bulletin, self.new_bulletin = Bulletin(), Bulletin()
         first, second = self.engines
         self.old_bulletin.publish(first.entry(), reset=True)
         self.new_bulletin.publish(first.entry(), reset=True)
@@ -78,13 +75,13 @@
         self.new_configuration = folder / "config.json.new"
         self.new_configuration.write_text(json.dumps({**config, "bulletin": self.new_bulletin.where}))
         (folder / "sitecustomize.py").write_text(SITECUSTOMIZE)
-        self.gateway = Gateway(config, folder, CROSS_AT=at, PYTHONPATH=str(folder))
+        self.gateway = Gateway(config, folder, SIGNAL_AT=at, PYTHONPATH=str(folder))
 
     def is_serving(self) -> bool:
         assert self.gateway.process.poll() is None, self.gateway.text()
         return "serves on" in self.gateway.text()
 
-    def end(self) -> None:
+    def close(self) -> None:
         self.gateway.end()
         for server in (self.old_bulletin, self.new_bulletin, *self.engines):
             server.close()
@@ -92,15 +89,15 @@
 
 @contextmanager
 def signal_scenario(folder: Path, at: str) -> Iterator[SignalScenario]:
-    given = SignalScenario(folder, at)
+    scenario = SignalScenario(folder, at)
     try:
-        wait_for(given.is_serving)
-        yield given
-        given.gateway.signal(signal.SIGTERM)
-        assert given.gateway.process.wait(PATIENCE_S) == 0
-        assert not given.new_configuration.exists()  # it has crossed
+        wait_for(scenario.is_serving)
+        yield scenario
+        scenario.gateway.signal(signal.SIGTERM)
+        assert scenario.gateway.process.wait(PATIENCE_S) == 0
+        assert not scenario.new_configuration.exists()  # the signal was sent
     finally:
-        given.end()
+        scenario.close()
 
 
 @pytest.mark.parametrize(
@@ -108,13 +105,13 @@
     ["whintrail.gateway.service", "asyncio", "orjson", "whintrail.routing", "uvloop", "uvloop.loop", "read"],
 )
 def test_sighup_during_startup_neither_ends_the_program_nor_is_lost(at: str, tmp_path: Path) -> None:
-    with signal_scenario(tmp_path, at) as given:
-        wait_for(lambda: given.new_bulletin.asked == [1])
-        client = Client(given.port)
-        wait_for(lambda: client.ask(query(ttl=1000)).rows and given.engines[1].done)
+    with signal_scenario(tmp_path, at) as scenario:
+        wait_for(lambda: scenario.new_bulletin.asked == [1])
+        client = Client(scenario.port)
+        wait_for(lambda: client.ask(query(ttl=1000)).rows and scenario.engines[1].done)
         client.close()
 
 
 def test_sighup_during_exit_leaves_the_exit_status(tmp_path: Path) -> None:
-    with signal_scenario(tmp_path, "end") as given:
-        assert given.new_configuration.exists()
+    with signal_scenario(tmp_path, "end") as scenario:
+        assert scenario.new_configuration.exists()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""One test for each failure found, and for the families of trouble that the defences are meant for."""
+"""One test for each fault that was found, and for each kind of failure that the policy handles."""
 
 from collections import Counter
 from typing import Any
@@ -41,7 +41,7 @@
     driver.advance(2 * SECOND)
     driver.arrive_query(50)
     query, item = driver.policy.queries[50], driver.policy.engines[failed]
-    item.threads = 0  # wherever the last one was drawn to
+    item.threads = 0  # whichever engine got the last query
     assert driver.policy._engine_accepts(query, item)
     item.threads = 1
     assert not driver.policy._engine_accepts(query, item)
@@ -70,7 +70,7 @@
     assert [a for a in driver.actions if isinstance(a, api.CancelAttempt)]
 
 
-def test_all_engines_failing_does_not_shut_out_the_fleet() -> None:
+def test_failures_of_all_engines_do_not_exclude_the_fleet() -> None:
     driver = driver_with_engines()
     for item in driver.policy.engines.values():
         item.failures, item.backoff_until = 3, driver.now
@@ -173,7 +173,7 @@
     assert driver.policy.work_share > 0.7
 
 
-def test_reports_that_freeze_stop_or_lie_do_not_stop_service() -> None:
+def test_missing_or_false_reports_do_not_stop_service() -> None:
     driver = driver_with_engines()
     driver.finish_probe("e0", utilisation=None, active_queries=None)
     driver.handle(api.ProbeFinished("e1", Outcome.OK, 1000, None))
@@ -181,7 +181,7 @@
     assert sends(driver.arrive_query(1)) and sends(driver.arrive_query(2))
 
 
-def test_estimates_that_go_missing_for_a_class_leave_it_served() -> None:
+def test_a_class_is_served_after_its_estimates_stop() -> None:
     driver = driver_with_engines()
     for number in range(50):
         assert sends(driver.arrive_query(number, cost_us=None, memory_mb=None))
@@ -210,7 +210,7 @@
     assert all(e.threads == e.heavy_threads == 0 for e in driver.policy.engines.values())
 
 
-def test_a_failed_list_call_is_made_again_after_a_pause() -> None:
+def test_a_failed_list_request_is_repeated_after_a_delay() -> None:
     driver = PolicyDriver(settings(list_on_request=True), engine("a"))
     assert api.WatchEngineList(True) in driver.actions
     failed = driver.receive_engine_list(kind=api.ListKind.FAILED)
@@ -219,7 +219,7 @@
     assert api.WatchEngineList(True) in driver.handle(api.TimerFired(timers[0].token))
 
 
-def test_short_classes_have_priority_where_it_is_heeded() -> None:
+def test_short_classes_have_priority_where_engines_honor_it() -> None:
     long = query_class("long", threads=2, target_latency_us=20 * SECOND)
     driver = PolicyDriver(settings(query_class(), long, priorities_honored=True), engine("a"))
     driver.serve_queries()
@@ -227,7 +227,7 @@
     driver.arrive_query(1)
     driver.arrive_query(2, "long", cost_us=2.0 * SECOND)
     terms = {a.query: a.priority for a in driver.actions if isinstance(a, api.SetGrantAndPriority)}
-    assert terms[1] > terms.get(2, 1)  # one that is never set has 1
+    assert terms[1] > terms.get(2, 1)  # 1 is the default priority
 
 
 def test_half_of_the_fleet_added_at_once_is_used() -> None:
@@ -242,7 +242,7 @@
 
 
 def test_an_engine_that_looks_idle_to_all_gateways_is_not_overloaded() -> None:
-    """Many gateways see the same report: what we send, the others send as well."""
+    """Many gateways receive the same report, and each sends as much as the others."""
     driver = PolicyDriver(settings(fleet_size=8, kind_cores={"k8": 16.0}), engine("a"))
     driver.serve_queries()
     driver.finish_probe("a", utilisation=0.0)
@@ -252,7 +252,7 @@
     assert len(sends(driver.actions)) - 40 < 8
 
 
-def test_answers_in_no_time_and_estimates_of_zero_do_no_harm() -> None:
+def test_zero_latency_and_zero_estimates_are_harmless() -> None:
     driver = PolicyDriver(settings(), engine("a"), engine("b"))
     for number in range(60):
         driver.arrive_query(number, cost_us=0.0, memory_mb=0.0)
@@ -261,7 +261,7 @@
 
 
 def test_attempts_of_a_class_that_is_slow_everywhere_are_not_moved() -> None:
-    """Long queries may be squeezed everywhere while short ones, which have priority, look well."""
+    """Long queries may be slow on every engine while short ones, which have priority, are fast."""
     driver = PolicyDriver(
         settings(query_class(target_latency_ratio=2.5)), *(engine(f"e{n}") for n in range(4))
     )
@@ -282,16 +282,16 @@
     for number in range(40):
         driver.arrive_query(number)
         driver.now += 30_000
-    driver.advance(3 * SECOND)  # nothing answers: all is called off
+    driver.advance(3 * SECOND)  # nothing answers: all attempts are cancelled
     assert [a for a in driver.actions if isinstance(a, api.CancelAttempt)]
     assert driver.policy.classes["short"].recent_latency.value == recent
 
 
 def driver_of_many_gateways(count: int = 200, engines: int = 40, **changes: Any) -> PolicyDriver:
-    """A small gateway of many: its part of one engine is far less than a query."""
+    """A small gateway of many: its share of one engine is far less than a query."""
     long = query_class("long", threads=2, target_latency_us=20 * SECOND, deadline_us=60 * SECOND)
-    given = settings(query_class(), long, fleet_size=count, **changes)
-    driver = PolicyDriver(given, *(engine(f"e{n}") for n in range(engines)))
+    policy_settings = settings(query_class(), long, fleet_size=count, **changes)
+    driver = PolicyDriver(policy_settings, *(engine(f"e{n}") for n in range(engines)))
     driver.serve_queries(count=60)
     driver.serve_queries("long", count=25, first=20_000, cost_us=2.0 * SECOND)
     return driver
@@ -304,8 +304,8 @@
     long = range(100, 120)
     for number in long:
         driver.arrive_query(number, "long", cost_us=2.0 * SECOND, deadline_at_us=driver.now + 60 * SECOND)
-    part = 40 * 8 / 200 * driver.policy.fleet_total.limit_scale
-    assert 2 <= 2 * sum(bool(sends(driver.actions, n)) for n in long) <= max(2, part)
+    limit = 40 * 8 / 200 * driver.policy.fleet_total.limit_scale
+    assert 2 <= 2 * sum(bool(sends(driver.actions, n)) for n in long) <= max(2, limit)
     assert sends(driver.arrive_query(1))
 
 
@@ -319,8 +319,8 @@
 
 
 def test_gateways_take_turns_at_a_cold_engine_when_their_budget_is_under_one_query() -> None:
-    """It is neither shut out nor rushed: over its first seconds the sends of all stay in the budget."""
-    taken = []
+    """The engine gets some queries, and in its first seconds the sends of all gateways stay in the budget."""
+    sent_at = []
     for seed in range(100):
         driver = PolicyDriver(
             settings(fleet_size=100, local_number=seed, overload_window_us=SECOND), seed=seed
@@ -330,22 +330,22 @@
         begin = driver.now
         for number in range(40):
             if sends(driver.arrive_query(number)):
-                taken.append(driver.now - begin)
+                sent_at.append(driver.now - begin)
                 driver.finish_attempt(number, Outcome.OK)
             driver.now += 100_000
-    busiest = max(sum(t <= at < t + SECOND for at in taken) for t in range(0, 3 * SECOND, 100_000))
-    work, able = 100_000, 8 * 2.0 * 0.4 * SECOND
-    assert 0 < busiest * work <= able
+    busiest = max(sum(t <= at < t + SECOND for at in sent_at) for t in range(0, 3 * SECOND, 100_000))
+    work, limit = 100_000, 8 * 2.0 * 0.4 * SECOND
+    assert 0 < busiest * work <= limit
 
 
-def driver_with_cold_engines(me: int) -> PolicyDriver:
-    """Of forty engines of a large fleet all but four have just started; queries are short and long."""
+def driver_with_cold_engines(gateway: int) -> PolicyDriver:
+    """All but four of forty engines of a large fleet have just started; there are short and long queries."""
     long = query_class("long", threads=2, target_latency_us=20 * SECOND, deadline_us=60 * SECOND)
     warm = [engine(f"w{n}") for n in range(4)]
     driver = PolicyDriver(
-        settings(query_class(), long, fleet_size=100, local_number=me, overload_window_us=SECOND),
+        settings(query_class(), long, fleet_size=100, local_number=gateway, overload_window_us=SECOND),
         *warm,
-        seed=me,
+        seed=gateway,
     )
     driver.serve_queries()
     driver.serve_queries("long", count=25, first=20_000, cost_us=2.0 * SECOND)
@@ -354,13 +354,15 @@
 
 
 def test_a_gateways_turns_at_different_cold_engines_are_spread() -> None:
-    """With one turn for all of them, 36 engines stood idle but for a moment while queries were refused."""
+    """With one turn for all of them, 36 engines were idle most of the time while queries were refused."""
     driver = driver_with_cold_engines(7)
     idle = 0
     for number in range(40):
-        item = driver.policy
+        policy = driver.policy
         driver.arrive_query(number)
-        idle += not any(item._has_cold_budget(item.queries[number], e) for e in item.ready if e.cold_until)
+        idle += not any(
+            policy._has_cold_budget(policy.queries[number], e) for e in policy.ready if e.cold_until
+        )
         driver.finish_attempt(number, Outcome.OK)
         driver.now += 50_000
     assert idle <= 12  # of forty
@@ -368,10 +370,10 @@
 
 def test_long_queries_reach_cold_engines_and_all_gateways_together_stay_in_the_budget() -> None:
     sent: dict[str, list[tuple[int, float]]] = {}
-    for me in range(100):
-        driver = driver_with_cold_engines(me)
+    for gateway in range(100):
+        driver = driver_with_cold_engines(gateway)
         begin = driver.now
-        for number in range(24):  # four a second each, a third of them long: the fleet's load thrice over
+        for number in range(24):  # four a second, a third of them long: three times the fleet's capacity
             name, work = ("long", 2e6) if number % 3 == 0 else ("short", 1e5)
             for send in sends(
                 driver.arrive_query(number, name, cost_us=work, deadline_at_us=driver.now + 60 * SECOND)
@@ -379,18 +381,18 @@
                 sent.setdefault(send.engine, []).append((driver.now - begin, work))
                 driver.finish_attempt(number, Outcome.OK, elapsed_us=int(work))
             driver.now += 250_000
-    cold = {name: taken for name, taken in sent.items() if name[0] == "c"}
-    assert any(work > 1e6 for taken in cold.values() for _, work in taken)
-    able = 8 * 2.0 * 0.4 * SECOND  # at its start, in any second
-    for taken in cold.values():
+    cold = {name: sends_of for name, sends_of in sent.items() if name[0] == "c"}
+    assert any(work > 1e6 for sends_of in cold.values() for _, work in sends_of)
+    limit = 8 * 2.0 * 0.4 * SECOND  # in any second after the start
+    for sends_of in cold.values():
         assert (
-            max(sum(w for at, w in taken if t <= at < t + SECOND) for t in range(0, 2_000_000, 100_000))
-            <= able
+            max(sum(w for at, w in sends_of if t <= at < t + SECOND) for t in range(0, 2_000_000, 100_000))
+            <= limit
         )
 
 
 def test_rough_estimates_do_not_count_as_runaway_plans() -> None:
-    """Queries that take one to six times their estimate are usual here, and none is moved for it."""
+    """Queries take one to six times their estimate, and none is moved for that."""
     driver = PolicyDriver(
         settings(query_class(target_latency_us=20 * SECOND)), *(engine(f"e{n}") for n in range(4))
     )
@@ -405,15 +407,15 @@
 
 
 def test_the_runaway_threshold_does_not_rise_with_each_moved_attempt() -> None:
-    """In a jam most attempts are long and unanswered. Only the bad ones were counted, each as it was moved:
-    the bar rose with every one, until runaways were left to run for good."""
+    """In an overload most attempts are long and unanswered. Only bad ones were counted, when they were moved:
+    each raised the threshold, until no runaway was moved any more."""
     driver = PolicyDriver(
         settings(query_class(target_latency_us=2 * SECOND)), *(engine(f"e{n}") for n in range(8))
     )
     for number in range(300):
         driver.arrive_query(number, cost_us=1.0 * SECOND, deadline_at_us=driver.now + 900 * SECOND)
         driver.now += 500_000
-        share = 0.03 if number % 10 == 0 else 0.25  # of what takes a second when alone
+        share = 0.03 if number % 10 == 0 else 0.25  # one second of work
         for action in driver.handle(
             api.AttemptStatusReceived(number, 0, "", api.StatusTopic.PROGRESS, share)
         ):
@@ -430,7 +432,7 @@
         driver.finish_attempt(number, Outcome.OK)
         driver.now += 250_000
     used = {send.engine for send in sends(driver.actions)}
-    assert len(used) < 25  # sixty draws of forty would name thirty-one
+    assert len(used) < 25  # 60 uniform draws from 40 would name 31
     for address in used:
         driver.finish_probe(address, active_queries=24)
     for address in sorted({e.engine for e in entries} - used):
@@ -455,7 +457,7 @@
     assert driver.policy.classes["short"].recent_latency.value == recent
 
 
-def test_an_engine_that_is_full_again_and_again_rests_longer() -> None:
+def test_an_engine_that_is_repeatedly_full_backs_off_longer() -> None:
     driver = PolicyDriver(settings(max_attempts=None), engine("a"))
     times = []
     for number in range(100):
@@ -478,7 +480,7 @@
 def test_probes_are_budgeted_by_queries_and_go_to_the_oldest_report() -> None:
     driver = driver_of_many_gateways(engines=40)
     for number in range(40):
-        driver.finish_probe(f"e{number}", active_queries=3)  # what learning had asked for
+        driver.finish_probe(f"e{number}", active_queries=3)  # answers the probes sent while learning
     first = len(driver.actions)
     for number in range(50):
         driver.arrive_query(number)
@@ -491,15 +493,15 @@
 
 
 def test_a_reset_from_a_live_engine_retries_only_that_attempt() -> None:
-    """Answers may be lost at most engines while all work: none of them is shut out for it."""
+    """Answers may get lost at most engines while all work: none of them backs off for it."""
     driver = driver_with_engines(1)
     driver.arrive_query(1)
     driver.arrive_query(2, cost_us=2.0 * SECOND, deadline_at_us=driver.now + 90 * SECOND)
     driver.now += 100_000
     driver.arrive_query(3)
     driver.finish_attempt(3, Outcome.OK)
-    given = driver.finish_attempt(1, Outcome.RESET)
-    assert sends(given, 1) and not [a for a in given if isinstance(a, api.CancelAttempt)]
+    actions = driver.finish_attempt(1, Outcome.RESET)
+    assert sends(actions, 1) and not [a for a in actions if isinstance(a, api.CancelAttempt)]
     item = driver.policy.engines["e0"]
     assert not item.failures and driver.now >= item.full_backoff_until
 
@@ -534,7 +536,7 @@
     driver.arrive_query(2)
     assert 2 in cancelled_queries(driver.advance(600_000))
     driver.arrive_query(3, cost_us=5.0 * SECOND, deadline_at_us=driver.now + 90 * SECOND)
-    assert not cancelled_queries(driver.advance(SECOND))  # it may well still run
+    assert not cancelled_queries(driver.advance(SECOND))  # it may still be running
 
 
 def test_a_silent_attempt_on_a_live_engine_moves_alone() -> None:
@@ -575,7 +577,7 @@
 
 
 def test_many_active_queries_are_pressure_despite_low_utilisation() -> None:
-    """Where queries wait in line for memory, cores may idle while nothing more has room."""
+    """Where queries queue for memory, cores may be idle although there is no capacity left."""
     driver = driver_with_engines(1)
     driver.finish_probe("e0", utilisation=0.5, active_queries=40)
     assert driver.policy._is_under_pressure(driver.policy.engines["e0"])
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, with a pytest run of its own for each case."""
+"""The list of known failures; each case runs pytest in a process of its own."""
 
 import os
 import subprocess
@@ -12,10 +12,10 @@
 import pytest
 
 @pytest.mark.xdist_group("a group")
-def test_sound(): pass
+def test_passing(): pass
 
 @pytest.mark.xdist_group("a group")
-def test_red(): assert False
+def test_failing(): assert False
 """
 
 
@@ -35,18 +35,21 @@
         *extra_arguments,
     ]
     environment = {**os.environ, "PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
-    ended = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True, timeout=60)
-    return ended.returncode, ended.stdout + ended.stderr
+    completed = subprocess.run(
+        command, cwd=folder, env=environment, capture_output=True, text=True, timeout=60
+    )
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-FAILING_ENTRY, PASSING_ENTRY = "test_it.py::test_red | a cause | 7", "test_it.py::test_sound | a cause | 7"
+FAILING_ENTRY = "test_it.py::test_failing | a cause | 7"
+PASSING_ENTRY = "test_it.py::test_passing | a cause | 7"
 
 
 @pytest.mark.parametrize(
-    ("lines", "status", "says"),
+    ("lines", "status", "message"),
     [
         ([], 1, "1 failed, 1 passed"),
-        ([FAILING_ENTRY], 0, "known red: test_it.py::test_red: a cause (issue 7)"),
+        ([FAILING_ENTRY], 0, "known red: test_it.py::test_failing: a cause (issue 7)"),
         ([FAILING_ENTRY, PASSING_ENTRY], 1, "XPASS(strict)"),
         (
             [FAILING_ENTRY, "", "test_it.py::test_none | a cause | 7"],
@@ -58,15 +61,15 @@
             4,
             "4 lines, 3 at most",
         ),
-        (["test_it.py::test_red"], 4, "not `test | cause | issue`"),
+        (["test_it.py::test_failing"], 4, "not `test | cause | issue`"),
         ([FAILING_ENTRY, FAILING_ENTRY], 4, "each test once"),
     ],
 )
 @pytest.mark.parametrize(
-    "more", [[], ["-p", "xdist.plugin", "-n", "1", "--dist", "loadgroup"]], ids=["one", "workers"]
+    "extra_arguments", [[], ["-p", "xdist.plugin", "-n", "1", "--dist", "loadgroup"]], ids=["one", "workers"]
 )
 def test_only_listed_tests_may_fail(
-    tmp_path: Path, lines: list[str], status: int, says: str, more: list[str]
+    tmp_path: Path, lines: list[str], status: int, message: str, extra_arguments: list[str]
 ) -> None:
-    ended, text = run_pytest(tmp_path, lines, more)
-    assert ended == status and says in text, text
+    exit_status, output = run_pytest(tmp_path, lines, extra_arguments)
+    assert exit_status == status and message in output, output
--- a/tests/test_lay.py
+++ b/tests/test_lay.py
@@ -1,4 +1,4 @@
-"""The script that lays variants of a deployment, on a kit of the test's own."""
+"""The script that writes variants of a deployment, with a small kit."""
 
 import subprocess
 import sys
@@ -75,5 +75,5 @@
 def test_a_variant_that_cant_be_written_ends_in_one_line_and_status_1(
     tmp_path: Path, recipe: str, site: str | None
 ) -> None:
-    ended = run_script(tmp_path, recipe, site)
-    assert ended.returncode == 1 and len(ended.stderr.splitlines()) == 1 and not ended.stdout
+    completed = run_script(tmp_path, recipe, site)
+    assert completed.returncode == 1 and len(completed.stderr.splitlines()) == 1 and not completed.stdout
--- a/tests/test_other_customer.py
+++ b/tests/test_other_customer.py
@@ -1,4 +1,4 @@
-"""The program under other settings: other names and effects, and settings that lack something."""
+"""The program with the settings of another deployment: other class names and effects, missing members."""
 
 import json
 from pathlib import Path
@@ -19,41 +19,41 @@
 
 CLASSES = [
     {"Name": "ledger-entry", "Effect": "repeatable", "DeadlineUs": 700_000},
-    {"Name": "lookup", "Effect": "once", "DeadlineUs": 900_000},  # elsewhere it may be repeated
+    {"Name": "lookup", "Effect": "once", "DeadlineUs": 900_000},  # repeatable in the usual settings
     {"Name": "report", "Effect": "by_key", "Group": "all", "WindowUs": 100_000, "DeadlineUs": 900_000},
     {"Name": "unsaid", "DeadlineUs": 900_000},
 ]
 
 
 @pytest.mark.parametrize(("op", "most"), [("lookup", 1), ("unsaid", 1), ("report", 3)])
-def test_effects_come_from_the_settings_and_from_no_name(op: str, most: int) -> None:
+def test_effects_come_from_the_settings_and_not_from_class_names(op: str, most: int) -> None:
     engines = [Engine(f"s-{number}", mode="reset") for number in range(3)]
-    with deployment(*engines, classes=CLASSES) as given:
-        assert given.client().ask(query(op, ttl=None)).sqlstate == "58000"
+    with deployment(*engines, classes=CLASSES) as running:
+        assert running.client().ask(query(op, ttl=None)).sqlstate == "58000"
         assert 1 <= sum(len(engine.done) for engine in engines) <= most
-        assert given.client().ask(query("once")).sqlstate == "58000"  # no class of these settings
+        assert running.client().ask(query("once")).sqlstate == "58000"  # not a class of these settings
         assert not [done for engine in engines for done in engine.done if done.fields["class"] == "once"]
 
 
 def test_deadlines_come_from_the_settings() -> None:
-    with deployment(Engine(mode="silent"), classes=CLASSES) as given:
-        answer = given.client().ask(query("lookup", ttl=60_000))
+    with deployment(Engine(mode="silent"), classes=CLASSES) as running:
+        answer = running.client().ask(query("lookup", ttl=60_000))
         assert answer.sqlstate == "58000"
-        assert 0 < int(given.engines[0].done[0].fields["wait"]) <= 900
+        assert 0 < int(running.engines[0].done[0].fields["wait"]) <= 900
 
 
 @pytest.mark.parametrize(
     "classes",
     [[], None, [{"Name": "a"}], [{"DeadlineUs": 5}], [{"Name": "a", "DeadlineUs": "soon"}], ["a"], 7],
 )
-def test_settings_that_lack_something_end_it_with_one_line(tmp_path: Path, classes: Any) -> None:
-    given = settings()
-    given["Classes"] = classes
+def test_incomplete_settings_end_the_program_with_one_line(tmp_path: Path, classes: Any) -> None:
+    document = settings()
+    document["Classes"] = classes
     config = {
         "listen": "127.0.0.1:1",
         "bulletin": "127.0.0.1:9",
         "limits": {"memory_mb": 64, "sockets": 256},
-        "settings": given,
+        "settings": document,
     }
     gateway = Gateway(json.loads(json.dumps(config)), tmp_path)
     try:
@@ -63,21 +63,21 @@
         gateway.end()
 
 
-def test_the_list_is_found_again_while_idle_clients_fill_the_descriptors() -> None:
-    with deployment(Engine("s-1"), Engine("s-2"), sockets=64) as given:
-        wait_for(lambda: given.bulletin.asked)
-        given.bulletin.mute = True
-        idle = [Client(given.port, start=False) for _ in range(60)]
-        asked = len(given.bulletin.asked)
-        wait_for(lambda: len(given.bulletin.asked) > asked)  # a new watch, with a descriptor of its own
-        idle += [Client(given.port, start=False) for _ in range(60)]
-        given.bulletin.publish(given.engines[0].entry("leaving"))
-        given.bulletin.mute = False
+def test_the_engine_list_is_followed_again_while_idle_clients_use_all_descriptors() -> None:
+    with deployment(Engine("s-1"), Engine("s-2"), sockets=64) as running:
+        wait_for(lambda: running.bulletin.asked)
+        running.bulletin.mute = True
+        idle = [Client(running.port, start=False) for _ in range(60)]
+        asked = len(running.bulletin.asked)
+        wait_for(lambda: len(running.bulletin.asked) > asked)  # a new request, which needs a descriptor
+        idle += [Client(running.port, start=False) for _ in range(60)]
+        running.bulletin.publish(running.engines[0].entry("leaving"))
+        running.bulletin.mute = False
 
         def moved() -> bool:
-            before = len(given.engines[0].done)
-            assert all(given.client().ask(query()).rows for _ in range(6))
-            return len(given.engines[0].done) == before
+            before = len(running.engines[0].done)
+            assert all(running.client().ask(query()).rows for _ in range(6))
+            return len(running.engines[0].done) == before
 
         wait_for(moved)
         for client in idle:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, on the module alone."""
+"""The seven rules, with the routing policy alone."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 NEVER_RAN_OUTCOMES = [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED]
 
 
-# --- 1. One final answer, before the client gives up, and nothing after it.
+# --- 1. One final answer, before the client's deadline, and nothing after it.
 
 
 def test_every_query_gets_one_answer_before_its_deadline() -> None:
@@ -26,25 +26,25 @@
 
 
 @pytest.mark.parametrize("entries", [(), (engine("a", state=api.EngineState.DRAINING),)])
-def test_no_engine_to_send_to_still_brings_an_answer(entries: tuple[api.EngineEntry, ...]) -> None:
+def test_without_a_ready_engine_a_query_is_still_answered(entries: tuple[api.EngineEntry, ...]) -> None:
     driver = PolicyDriver(settings(), *entries)
     driver.arrive_query(1)
     driver.advance(10 * SECOND)
     assert not sends(driver.actions) and final_answers(driver.actions, 1) == [api.RefuseQuery]
 
 
-def test_a_deadline_already_past_or_all_but_past_is_refused_at_once() -> None:
+def test_a_query_at_or_close_to_its_deadline_is_refused_at_once() -> None:
     driver = PolicyDriver(settings(), engine("a"))
     assert final_answers(driver.arrive_query(1, deadline_at_us=driver.now - 1), 1) == [api.RefuseQuery]
     driver.receive_engine_list()
     assert final_answers(driver.arrive_query(2, deadline_at_us=driver.now + 20_000), 2) == [api.RefuseQuery]
 
 
-def test_nothing_is_sent_for_a_query_whose_client_left() -> None:
+def test_nothing_is_sent_for_a_query_whose_client_disconnected() -> None:
     driver = PolicyDriver(settings(), engine("a"), engine("b"))
     driver.arrive_query(1)
-    left = driver.handle(api.ClientDisconnected(1))
-    assert [a for a in left if isinstance(a, api.CancelAttempt)]
+    actions = driver.handle(api.ClientDisconnected(1))
+    assert [a for a in actions if isinstance(a, api.CancelAttempt)]
     driver.finish_attempt(1, Outcome.CANCELLED, final=True)
     driver.handle(api.ClientDisconnected(1))
     driver.advance(11 * SECOND)
@@ -60,15 +60,15 @@
     assert driver.handle(api.ProbeFinished("no such engine", Outcome.OK, 1, None)) == []
 
 
-# --- 2. No effect twice.
+# --- 2. No effect is applied twice.
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_once_fails_after_an_attempt_that_may_have_run(outcome: api.Outcome) -> None:
     driver = PolicyDriver(settings(query_class(effect=api.Effect.ONCE)), engine("a"), engine("b"))
     driver.arrive_query(1)
-    given = driver.finish_attempt(1, outcome)
-    assert not sends(given) and final_answers(given, 1) == [api.FailQuery]
+    actions = driver.finish_attempt(1, outcome)
+    assert not sends(actions) and final_answers(actions, 1) == [api.FailQuery]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN_OUTCOMES)
@@ -79,7 +79,7 @@
     assert len(again) == 1 and again[0].engine != first.engine
 
 
-def test_once_that_is_still_out_at_the_deadline_fails() -> None:
+def test_once_that_is_still_running_at_the_deadline_fails() -> None:
     driver = PolicyDriver(settings(query_class(effect=api.Effect.ONCE)), engine("a"), engine("b"))
     driver.arrive_query(1)
     driver.advance(10 * SECOND)
@@ -94,11 +94,11 @@
         (api.DedupScope.CELL, {"same cell"}),
     ],
 )
-def test_by_key_stays_within_its_group(group: api.DedupScope, allowed: set[str]) -> None:
+def test_by_key_stays_within_its_dedup_scope(group: api.DedupScope, allowed: set[str]) -> None:
     seen = set()
     for seed in range(30):
-        given = settings(query_class(effect=api.Effect.BY_KEY, dedup_scope=group))
-        driver = PolicyDriver(given, engine("first"), seed=seed)
+        policy_settings = settings(query_class(effect=api.Effect.BY_KEY, dedup_scope=group))
+        driver = PolicyDriver(policy_settings, engine("first"), seed=seed)
         driver.arrive_query(1)
         driver.receive_engine_list(
             engine("same cell"), engine("same zone", cell=1), engine("elsewhere", zone="z2", cell=2)
@@ -108,43 +108,43 @@
 
 
 def test_by_key_is_not_sent_after_its_window_nor_refused() -> None:
-    given = settings(query_class(effect=api.Effect.BY_KEY, dedup_window_us=SECOND, deadline_us=30 * SECOND))
-    driver = PolicyDriver(given, engine("a"), engine("b"))
+    policy_settings = settings(
+        query_class(effect=api.Effect.BY_KEY, dedup_window_us=SECOND, deadline_us=30 * SECOND)
+    )
+    driver = PolicyDriver(policy_settings, engine("a"), engine("b"))
     driver.arrive_query(1, deadline_at_us=driver.now + 30 * SECOND)
     driver.now += SECOND
     late = driver.finish_attempt(1, Outcome.RESET)
     assert not sends(late) and final_answers(late, 1) == [api.FailQuery]
 
 
-def test_by_key_is_repeated_only_where_the_last_copy_arrives_within_the_window() -> None:
-    given = settings(
+def test_by_key_is_repeated_only_if_the_last_repeat_arrives_within_the_window() -> None:
+    policy_settings = settings(
         query_class(effect=api.Effect.BY_KEY, dedup_window_us=SECOND, deadline_us=30 * SECOND),
         retry_after=False,
     )
     for waited, repeated in ((900_000, True), (960_000, False)):
-        driver = PolicyDriver(given, engine("a"), engine("b"))
+        driver = PolicyDriver(policy_settings, engine("a"), engine("b"))
         start = driver.now
         driver.arrive_query(1, deadline_at_us=driver.now + 30 * SECOND)
         driver.now += waited
-        given_up = driver.finish_attempt(1, Outcome.RESET)
-        assert [a.start_by_us for a in sends(given_up)] == [
-            start + SECOND - DEDUP_WINDOW_MARGIN_US
-        ] * repeated
-        assert final_answers(given_up, 1) == ([] if repeated else [api.FailQuery])
+        actions = driver.finish_attempt(1, Outcome.RESET)
+        assert [a.start_by_us for a in sends(actions)] == [start + SECOND - DEDUP_WINDOW_MARGIN_US] * repeated
+        assert final_answers(actions, 1) == ([] if repeated else [api.FailQuery])
 
 
-def test_a_keyed_refusal_promises_no_more_than_the_window_holds_after_the_pause() -> None:
+def test_by_key_is_refused_only_if_a_retry_after_the_pause_is_within_the_window() -> None:
     cls = query_class(effect=api.Effect.BY_KEY, dedup_window_us=4 * SECOND, deadline_us=30 * SECOND)
-    for waited, told in ((2_900_000, api.RefuseQuery), (2_960_000, api.FailQuery)):
+    for waited, expected in ((2_900_000, api.RefuseQuery), (2_960_000, api.FailQuery)):
         driver = PolicyDriver(settings(cls, max_attempts=1, max_retry_after_us=SECOND), engine("a"))
         driver.arrive_query(1, deadline_at_us=driver.now + 30 * SECOND)
         driver.now += waited
-        assert final_answers(driver.finish_attempt(1, Outcome.RESET), 1) == [told]
+        assert final_answers(driver.finish_attempt(1, Outcome.RESET), 1) == [expected]
 
 
-def test_by_key_in_a_group_that_is_down_is_held_then_failed() -> None:
-    given = settings(query_class(effect=api.Effect.BY_KEY, dedup_scope=api.DedupScope.CELL))
-    driver = PolicyDriver(given, engine("a"), engine("b", cell=1))
+def test_by_key_without_a_ready_engine_in_its_scope_is_held_then_failed() -> None:
+    policy_settings = settings(query_class(effect=api.Effect.BY_KEY, dedup_scope=api.DedupScope.CELL))
+    driver = PolicyDriver(policy_settings, engine("a"), engine("b", cell=1))
     first = sends(driver.arrive_query(1))[0].engine
     other = "b" if first == "a" else "a"
     driver.receive_engine_list(engine(other, cell=1 if other == "b" else 0))
@@ -153,7 +153,7 @@
     assert len(sends(driver.actions, 1)) == 1 and final_answers(driver.actions, 1) == [api.FailQuery]
 
 
-def test_no_two_attempts_out_where_second_copies_are_off() -> None:
+def test_no_concurrent_attempts_where_they_are_not_allowed() -> None:
     driver = PolicyDriver(settings(concurrent_attempts_allowed=False), engine("a"), engine("b"))
     driver.serve_queries()
     driver.arrive_query(1)
@@ -162,11 +162,11 @@
     assert len(sends(driver.finish_attempt(1, Outcome.CANCELLED), 1)) == 1
 
 
-# --- 3. Drains.
+# --- 3. Draining engines.
 
 
 @pytest.mark.parametrize("state", [api.EngineState.DRAINING, api.EngineState.REMOVED])
-def test_nothing_new_to_a_draining_or_gone_engine(state: api.EngineState) -> None:
+def test_nothing_is_sent_to_a_draining_or_removed_engine(state: api.EngineState) -> None:
     driver = PolicyDriver(settings(), engine("a"), engine("b"))
     driver.receive_engine_list(engine("a", state=state), kind=api.ListKind.DELTA)
     for number in range(30):
@@ -174,7 +174,7 @@
     assert {s.engine for s in sends(driver.actions)} == {"b"}
 
 
-def test_an_engine_missing_from_a_full_list_is_gone_but_not_from_a_change() -> None:
+def test_an_engine_missing_from_a_full_list_is_removed_but_not_from_a_delta() -> None:
     driver = PolicyDriver(settings(), engine("a"), engine("b"))
     driver.receive_engine_list(engine("c"), kind=api.ListKind.DELTA)
     assert set(driver.policy.engines) == {"a", "b", "c"}
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("kind", [api.ListKind.CACHED, api.ListKind.FULL, api.ListKind.DELTA])
-def test_work_for_a_cold_engine_stays_within_our_share_of_a_safe_part(kind: api.ListKind) -> None:
+def test_work_for_a_cold_engine_stays_within_the_gateways_safe_share(kind: api.ListKind) -> None:
     driver = PolicyDriver(settings(), engine("warm"))
     driver.serve_queries()
     driver.receive_engine_list(engine("warm", state=api.EngineState.REMOVED), kind=api.ListKind.DELTA)
@@ -196,14 +196,14 @@
     for number in range(100):  # a burst
         driver.arrive_query(number)
     work = 100_000 * len(sends(driver.actions[-1000:]))
-    bearable = 2.0 * 0.4 * 8 * SECOND / 2
+    limit = 2.0 * 0.4 * 8 * SECOND / 2
     sent = [s for s in sends(driver.actions) if s.engine == "cold"]
-    assert work and 0 < 100_000 * len(sent) <= 0.8 * bearable
+    assert work and 0 < 100_000 * len(sent) <= 0.8 * limit
     driver.now += 15 * SECOND
     assert sends(driver.arrive_query(200))
 
 
-def test_a_class_whose_usual_work_exceeds_the_budget_waits_for_a_warm_engine() -> None:
+def test_a_class_whose_typical_work_exceeds_the_budget_waits_for_a_warm_engine() -> None:
     driver = PolicyDriver(settings(), engine("warm"))
     driver.serve_queries(cost_us=5.0 * SECOND)
     driver.receive_engine_list(engine("cold", started_us=driver.now))
@@ -261,9 +261,9 @@
 # --- 6. Placement.
 
 
-def test_placement_holds_at_every_attempt_even_with_all_allowed_engines_down() -> None:
-    given = settings(query_class(zones=("z1",), kinds=("k8",)))
-    driver = PolicyDriver(given, engine("in"), engine("zone", zone="z2"), engine("kind", kind="k9"))
+def test_placement_holds_for_every_attempt_even_if_all_allowed_engines_are_down() -> None:
+    policy_settings = settings(query_class(zones=("z1",), kinds=("k8",)))
+    driver = PolicyDriver(policy_settings, engine("in"), engine("zone", zone="z2"), engine("kind", kind="k9"))
     driver.arrive_query(1)
     driver.finish_attempt(1, Outcome.CONNECT_FAILED)
     driver.receive_engine_list(engine("in", state=api.EngineState.REMOVED), kind=api.ListKind.DELTA)
@@ -273,7 +273,7 @@
     assert final_answers(driver.actions, 2) == [api.RefuseQuery]
 
 
-def test_an_empty_list_of_places_allows_none() -> None:
+def test_an_empty_list_of_zones_allows_no_engine() -> None:
     driver = PolicyDriver(settings(query_class(zones=())), engine("a"))
     driver.arrive_query(1)
     driver.advance(10 * SECOND)
@@ -283,21 +283,25 @@
 # --- 7. Budget.
 
 
-def test_further_attempts_stay_within_the_stated_budget() -> None:
-    given = settings(retry_budget_ratio=0.1, retry_budget_free=2, retry_budget_window_us=10 * SECOND)
-    driver = PolicyDriver(given, *(engine(f"e{n}") for n in range(20)))
+def test_retries_stay_within_the_stated_budget() -> None:
+    policy_settings = settings(
+        retry_budget_ratio=0.1, retry_budget_free=2, retry_budget_window_us=10 * SECOND
+    )
+    driver = PolicyDriver(policy_settings, *(engine(f"e{n}") for n in range(20)))
     for number in range(50):
         driver.arrive_query(number)
         driver.finish_attempt(number, Outcome.ERROR)
     assert len(sends(driver.actions)) - 50 <= 2 + 0.1 * 50
 
 
-def test_a_budget_of_none_free_and_no_share_allows_no_further_attempt() -> None:
-    given = settings(retry_budget_ratio=0.0, retry_budget_free=0, retry_budget_window_us=10 * SECOND)
-    driver = PolicyDriver(given, engine("a"), engine("b"))
+def test_a_retry_budget_of_zero_allows_no_retry() -> None:
+    policy_settings = settings(
+        retry_budget_ratio=0.0, retry_budget_free=0, retry_budget_window_us=10 * SECOND
+    )
+    driver = PolicyDriver(policy_settings, engine("a"), engine("b"))
     driver.arrive_query(1)
-    given_up = driver.finish_attempt(1, Outcome.ERROR)
-    assert not sends(given_up) and final_answers(given_up, 1) == [api.RefuseQuery]
+    actions = driver.finish_attempt(1, Outcome.ERROR)
+    assert not sends(actions) and final_answers(actions, 1) == [api.RefuseQuery]
 
 
 def test_no_more_attempts_than_the_limit() -> None:
--- a/whintrail/interface.py
+++ b/whintrail/interface.py
@@ -184,10 +184,10 @@
 class LoadReport:
     """Values that an engine reported; None for those that it did not report."""
 
-    utilisation: float | None = None
+    utilisation: float | None = None  # share of the cores in use
     active_queries: float | None = None
-    memory_queue: float | None = None
-    memory_share: float | None = None
+    memory_queue: float | None = None  # queries that wait for memory
+    memory_share: float | None = None  # share of the memory that is granted
 
 
 @dataclass(slots=True)
@@ -221,7 +221,7 @@
     engine: str
     outcome: Outcome
     elapsed_us: int
-    final: bool
+    final: bool  # the query is over, no other attempt may follow
     work_ms: float | None
     memory_mb: float | None
     report: LoadReport | None
--- a/whintrail/routing.py
+++ b/whintrail/routing.py
@@ -95,7 +95,7 @@
 
 
 def apply_load_report(engine: Engine, at: int, report: api.LoadReport | None) -> None:
-    """Take over a report, unless it is older than the last one."""
+    """Apply a report to the engine, unless it is older than the last one."""
     if report is not None and at >= engine.report_at:
         engine.report, engine.report_at = report, at
         used, active = report.utilisation, report.active_queries and report.active_queries / engine.cores
@@ -131,13 +131,15 @@
         self.engines_by_key: dict[int, Engine] = {}  # by the key that gateways use in their messages
         self.ready: list[Engine] = []  # engines whose state is READY
         self.fleet_total = OutstandingLoad()  # all engines together
-        self.max_open, self.open_slot_share = settings.max_open or math.inf, 1.0  # share of spare slots free
+        self.max_open = settings.max_open or math.inf
+        self.open_slot_share = 1.0  # how much of the query slots above CROWDED_OPEN_SHARE is still free
         self.any_healthy, self.loss_rate = False, RunningMean()  # the share of answers that are lost
         self.list_changed = False  # since the last refresh
         self.cumulative_weights: list[float] | None = None  # None: to be computed again
         self.started_at, self.refreshed_at, self.probe_budget_at, self.probe_budget = now, 0, now, 3.0
         self.median_latency_ratio, self.mean_load = 1.0, 0.0  # of the engines
-        self.mean_ideal_us, self.max_memory_mb = 0.0, max(settings.kind_memory_mb.values(), default=math.inf)
+        self.mean_ideal_us = 0.0  # over the queries of all classes
+        self.max_memory_mb = max(settings.kind_memory_mb.values(), default=math.inf)
         self.gateways_per_engine: float = max(1, settings.fleet_size)  # mean over this gateway's engines
         self.work_share = 1.0 / self.gateways_per_engine  # this gateway's share of the fleet's work
 
@@ -179,7 +181,7 @@
         self._dispatch_or_hold(query)
 
     def _classify(self, query: Query) -> bool:
-        """Heavy by cost per thread or by memory against the class mean; then update the means."""
+        """Whether the query is heavy, by cost or memory against the class mean; then update the means."""
         cls, heavy = query.cls, False
         if cls.query_count >= MIN_CLASSIFIED_QUERIES and query.ideal_us > self.mean_ideal_us:
             # Without an estimate, a query is assumed to cost what answers reported for its class.
@@ -619,7 +621,7 @@
         ratio = min(max(elapsed_us, 1) / ideal, 5 * recent.value or math.inf)
         if elapsed_us == total_us:  # an attempt cancelled early must not look fast
             recent.add(ratio, BEST_LATENCY_WINDOW_ANSWERS)
-            # The best of a mean: estimates scatter, and a single low ratio says nothing.
+            # The minimum of a mean: estimates scatter, so a single low ratio has no meaning.
             best = min(cls.best_latency * BEST_LATENCY_GROWTH, recent.value)
             enough = recent.count > BEST_LATENCY_WINDOW_ANSWERS
             cls.best_latency = best if enough else recent.value
@@ -703,7 +705,7 @@
 
     @_handle_event.register
     def _on_peer_message(self, event: api.PeerMessageReceived) -> None:
-        """Use the probe reports of another gateway like local ones; they do not tell about connections."""
+        """Use the probe reports of another gateway like local ones, except for the state of connections."""
         try:
             reports = probe_reports.decode(event.payload)
         except probe_reports.ProbeReportError:
@@ -789,7 +791,7 @@
         self._release_held()
 
     def _most_engines_healthy(self) -> bool:
-        """If half of the fleet is silent, no engine is at fault and none backs off."""
+        """Whether at least half of the engines are healthy; if not, silence is no engine's own fault."""
         return sum(e.failures > 0 for e in self.ready) * 2 <= len(self.ready)
 
     def _silence_limit_us(self, query: Query, attempt: Attempt) -> float:
