--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -415,7 +415,7 @@
     for number in range(300):
         driver.arrive_query(number, cost_us=1.0 * SECOND, deadline_at_us=driver.now + 900 * SECOND)
         driver.now += 500_000
-        share = 0.03 if number % 10 == 0 else 0.25  # one second of work
+        share = 0.03 if number % 10 == 0 else 0.25  # done, of one second of work
         for action in driver.handle(
             api.AttemptStatusReceived(number, 0, "", api.StatusTopic.PROGRESS, share)
         ):
