--- a/tests/test_detector.py
+++ b/tests/test_detector.py
@@ -1,4 +1,4 @@
-"""The judge in simulated time: what it calls, when, and what it leaves alone."""
+"""The detector in simulated time: what it detects, how soon, and what it must not report."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 class SimulatedFleet:
-    """Engines that answer after a scattered time; `faults` change what one does."""
+    """Engines with random answer times. Its attributes set the faults of single engines and of all."""
 
     def __init__(self, engines: int, rate: float, seed: int = 1) -> None:
         self.timeline = Timeline(4 << 20, 300 * SECOND_US, Thresholds(), ("short", "long"), 15 * SECOND_US)
@@ -35,44 +35,44 @@
         self.timeline.record_engine_list(self.now, api.EngineListReceived(api.ListKind.CACHED, entries))
 
     def advance(self, seconds: float) -> list[Detection]:
-        """What was called in that time."""
-        before, until = len(self.detections), self.now + int(seconds * SECOND_US)
-        while self.now < until:
+        """Run the fleet and return the detections of that time."""
+        known, end_us = len(self.detections), self.now + int(seconds * SECOND_US)
+        while self.now < end_us:
             self.now += TICK_US
             for _ in range(self._arrivals()):
                 self._send_query(self.now - self.random.randrange(TICK_US))
             self.answers.sort()
-            late = []
+            postponed = []
             while self.answers and self.answers[0][0] <= self.now:
-                at, query, name, sent = self.answers.pop(0)
+                at_us, query, name, sent_us = self.answers.pop(0)
                 if name in self.stalled:
-                    late.append((self.now + TICK_US, query, name, sent))
+                    postponed.append((self.now + TICK_US, query, name, sent_us))
                     continue
-                bad = self.random.random() < self.error_shares.get(name, 0.0)
-                outcome = api.Outcome.ERROR if bad else api.Outcome.OK
-                self.timeline.record_ended(at, name, query, 0, outcome, at - sent)
-            self.answers += late
+                fails = self.random.random() < self.error_shares.get(name, 0.0)
+                outcome = api.Outcome.ERROR if fails else api.Outcome.OK
+                self.timeline.record_ended(at_us, name, query, 0, outcome, at_us - sent_us)
+            self.answers += postponed
             self.detections += self.timeline.tick(self.now)
-        return self.detections[before:]
+        return self.detections[known:]
 
     def _arrivals(self) -> int:
-        mean = self.rate * self.load_factor * TICK_US / SECOND_US
-        return int(mean) + (self.random.random() < mean % 1)
+        mean_arrivals = self.rate * self.load_factor * TICK_US / SECOND_US
+        return int(mean_arrivals) + (self.random.random() < mean_arrivals % 1)
 
-    def _send_query(self, at: int) -> None:
+    def _send_query(self, at_us: int) -> None:
         name = self.random.choice(self.names)
         self.queries += 1
-        estimate = 100_000 * self.random.lognormvariate(-0.3, 0.8)
+        estimate_us = 100_000 * self.random.lognormvariate(-0.3, 0.8)
         if self.random.random() < self.heavy_share:
-            estimate *= 20
-        self.timeline.record_sent(at, name, self.queries, 0, "short", estimate)
-        crowd = max(1.0, self.load_factor * 0.8) * self.fleet_factor * self.slow_factors.get(name, 1.0)
-        took = int(estimate * self.random.lognormvariate(0, 0.6) * crowd) + 500
-        self.answers.append((at + took, self.queries, name, at))
+            estimate_us *= 20
+        self.timeline.record_sent(at_us, name, self.queries, 0, "short", estimate_us)
+        slowdown = max(1.0, self.load_factor * 0.8) * self.fleet_factor * self.slow_factors.get(name, 1.0)
+        took_us = int(estimate_us * self.random.lognormvariate(0, 0.6) * slowdown) + 500
+        self.answers.append((at_us + took_us, self.queries, name, at_us))
 
 
-def begun(found: list[Detection], verdict: Verdict) -> list[Detection]:
-    return [h for h in found if h.begins and h.verdict is verdict]
+def begun(detections: list[Detection], verdict: Verdict) -> list[Detection]:
+    return [detection for detection in detections if detection.begins and detection.verdict is verdict]
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -82,16 +82,16 @@
     assert fleet.advance(15) == []
     fleet.load_factor = surge
     fleet.stalled.add("e3")
-    at = fleet.now
-    (called,) = fleet.advance(6)
-    assert (called.engine, called.verdict, called.begins) == ("e3", Verdict.STALLED, True)
-    assert called.at_us - at <= 3 * SECOND_US
-    assert abs(called.since_us - at) <= SECOND_US
-    assert called.evidence["peers_answering"] >= 4
+    stalled_at_us = fleet.now
+    (begin,) = fleet.advance(6)
+    assert (begin.engine, begin.verdict, begin.begins) == ("e3", Verdict.STALLED, True)
+    assert begin.at_us - stalled_at_us <= 3 * SECOND_US
+    assert abs(begin.since_us - stalled_at_us) <= SECOND_US
+    assert begin.evidence["peers_answering"] >= 4
     fleet.stalled.clear()
-    thawed = fleet.now
-    (ended,) = [h for h in fleet.advance(3) if h.verdict is Verdict.STALLED]
-    assert not ended.begins and abs(ended.since_us - thawed) <= SECOND_US
+    resumed_at_us = fleet.now
+    (end,) = [detection for detection in fleet.advance(3) if detection.verdict is Verdict.STALLED]
+    assert not end.begins and abs(end.since_us - resumed_at_us) <= SECOND_US
 
 
 def test_a_stall_of_an_engine_that_gets_one_request_a_second_is_detected() -> None:
@@ -100,10 +100,10 @@
         fleet = SimulatedFleet(8, 8.0, seed)
         assert fleet.advance(40) == []
         fleet.stalled.add("e1")
-        at = fleet.now
-        found = begun(fleet.advance(14), Verdict.STALLED)
-        assert [h.engine for h in found] == ["e1"]
-        delays.append((found[0].at_us - at) / SECOND_US)
+        stalled_at_us = fleet.now
+        stalls = begun(fleet.advance(14), Verdict.STALLED)
+        assert [detection.engine for detection in stalls] == ["e1"]
+        delays.append((stalls[0].at_us - stalled_at_us) / SECOND_US)
     assert sorted(delays)[2] <= 6.0
 
 
@@ -112,14 +112,17 @@
     fleet = SimulatedFleet(8, 80.0, seed)
     fleet.advance(15)
     fleet.slow_factors["e5"] = 5.0
-    at = fleet.now
-    found = fleet.advance(8)
-    assert [(h.engine, h.verdict) for h in found] == [("e5", Verdict.SLOW)]
-    assert found[0].at_us - at <= 5 * SECOND_US and abs(found[0].since_us - at) <= 2 * SECOND_US
-    assert found[0].evidence["times_peers"] > 2 and found[0].evidence["times_before"] > 2
+    slow_at_us = fleet.now
+    detections = fleet.advance(8)
+    assert [(detection.engine, detection.verdict) for detection in detections] == [("e5", Verdict.SLOW)]
+    assert (
+        detections[0].at_us - slow_at_us <= 5 * SECOND_US
+        and abs(detections[0].since_us - slow_at_us) <= 2 * SECOND_US
+    )
+    assert detections[0].evidence["times_peers"] > 2 and detections[0].evidence["times_before"] > 2
     fleet.slow_factors.clear()
-    (ended,) = fleet.advance(8)
-    assert not ended.begins and ended.evidence["lasted_s"] > 5
+    (end,) = fleet.advance(8)
+    assert not end.begins and end.evidence["lasted_s"] > 5
 
 
 def test_an_engine_that_is_slow_from_the_start_is_not_reported() -> None:
@@ -140,7 +143,7 @@
     assert fleet.advance(10) == []
     fleet.fleet_factor, fleet.heavy_share = 1.0, 0.03
     assert fleet.advance(10) == []
-    fleet.stalled.update(fleet.names)  # everything is silent: what they share, not one of them
+    fleet.stalled.update(fleet.names)  # all are silent, so the cause is common
     assert fleet.advance(5) == []
 
 
@@ -154,11 +157,11 @@
     fleet.error_shares = {name: 0.1 for name in fleet.names}
     assert fleet.advance(10) == []
     fleet.error_shares["e2"] = 0.8
-    (called,) = fleet.advance(5)
-    assert (called.engine, called.verdict) == ("e2", Verdict.FAILING)
+    (begin,) = fleet.advance(5)
+    assert (begin.engine, begin.verdict) == ("e2", Verdict.FAILING)
     fleet.error_shares["e2"] = 0.1
-    (ended,) = fleet.advance(10)
-    assert not ended.begins
+    (end,) = fleet.advance(10)
+    assert not end.begins
 
 
 def test_flapping_and_cold_again_and_their_ends() -> None:
@@ -170,13 +173,16 @@
                 fleet.now, api.EngineListReceived(api.ListKind.DELTA, (engine("e0", state=state),))
             )
             fleet.advance(1)
-    assert [h.engine for h in begun(fleet.detections, Verdict.FLAPPING)] == ["e0"]
+    assert [detection.engine for detection in begun(fleet.detections, Verdict.FLAPPING)] == ["e0"]
     entry = engine("e1", started_us=fleet.now - SECOND_US)
     fleet.timeline.record_engine_list(fleet.now, api.EngineListReceived(api.ListKind.DELTA, (entry,)))
     (cold,) = begun(fleet.advance(1), Verdict.COLD_AGAIN)
     assert cold.engine == "e1" and cold.evidence["cold_for_s"] == pytest.approx(14)
-    ends = [h for h in fleet.advance(80) if not h.begins]
-    assert {(h.engine, h.verdict) for h in ends} == {("e0", Verdict.FLAPPING), ("e1", Verdict.COLD_AGAIN)}
+    ends = [detection for detection in fleet.advance(80) if not detection.begins]
+    assert {(detection.engine, detection.verdict) for detection in ends} == {
+        ("e0", Verdict.FLAPPING),
+        ("e1", Verdict.COLD_AGAIN),
+    }
 
 
 def test_refused_connections_are_no_stall_and_a_broken_link_is_one_error() -> None:
@@ -205,7 +211,7 @@
     fleet.timeline.record_engine_list(fleet.now, api.EngineListReceived(api.ListKind.DELTA, changes))
     fleet.names[0] = "e0-again"
     fleet.slow_factors["e0-again"] = 5.0
-    (called,) = fleet.advance(8)
-    assert called.engine == "e0-again"
+    (detection,) = fleet.advance(8)
+    assert detection.engine == "e0-again"
     assert {row.engine for row in fleet.timeline.history.rows("e0-again")} == {"e0-again"}
-    assert "e0" in fleet.timeline.history.tracks  # what it went through is still there to see
+    assert "e0" in fleet.timeline.history.tracks  # its history is kept
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The record and its structures: bounded, exact where they claim to be, and nothing left behind."""
+"""The event history and its data structures: memory limit, accuracy, and nothing left of removed engines."""
 
 import math
 import tracemalloc
@@ -38,16 +38,16 @@
 def test_a_merged_and_encoded_sketch_is_accurate_to_two_per_cent(
     a: list[float], b: list[float], q: float
 ) -> None:
-    one, two = QuantileSketch(), QuantileSketch()
+    first, second = QuantileSketch(), QuantileSketch()
     for value in a:
-        one.add(value)
+        first.add(value)
     for value in b:
-        two.add(value)
-    one.merge(two)
-    again = QuantileSketch.decode(one.encode())
-    assert (again.bins, again.count) == (one.bins, len(a) + len(b))
+        second.add(value)
+    first.merge(second)
+    decoded = QuantileSketch.decode(first.encode())
+    assert (decoded.bins, decoded.count) == (first.bins, len(a) + len(b))
     exact = sorted(a + b)[math.floor(q * (len(a) + len(b) - 1))]
-    assert again.quantile(q) == pytest.approx(exact, rel=0.0201)
+    assert decoded.quantile(q) == pytest.approx(exact, rel=0.0201)
 
 
 @given(st.binary(max_size=40))
@@ -62,75 +62,81 @@
     for number in range(20_000):
         columns.add(START_US + number, number % 7, 4, 1, number, 0.5)
     assert columns.used_bytes <= 100 * 1024 + columns.rows_per_chunk * ROW_BYTES
-    rows, after, gone = columns.read_from(0, 100)
-    assert gone == columns.dropped_rows and rows[0][4] == columns.dropped_rows and after == gone + 100
-    mine = list(columns.rows(3, START_US + 19_000))
-    assert [row[4] for row in mine] == [n for n in range(19_000, 20_000) if n % 7 == 3]
+    rows, next_number, dropped = columns.read_from(0, 100)
+    assert (
+        dropped == columns.dropped_rows
+        and rows[0][4] == columns.dropped_rows
+        and next_number == dropped + 100
+    )
+    slot_rows = list(columns.rows(3, START_US + 19_000))
+    assert [row[4] for row in slot_rows] == [n for n in range(19_000, 20_000) if n % 7 == 3]
 
 
 def test_rollups_add_up_on_every_level() -> None:
-    line, random = make_timeline(), Random(1)
-    line.record_engine_list(START_US, engine_list("e1"))
+    timeline, random = make_timeline(), Random(1)
+    timeline.record_engine_list(START_US, engine_list("e1"))
     sent = 0
     for second in range(200):
         now = START_US + second * SECOND_US
         for _ in range(random.randrange(6)):
             sent += 1
-            line.record_sent(now, "e1", sent, 0, "short", 1e5)
-            line.record_ended(now + 1000, "e1", sent, 0, api.Outcome.OK, random.randrange(1, 90) * 1000)
+            timeline.record_sent(now, "e1", sent, 0, "short", 1e5)
+            timeline.record_ended(now + 1000, "e1", sent, 0, api.Outcome.OK, random.randrange(1, 90) * 1000)
     for level in range(3):
-        buckets = line.history.buckets("e1", level)
+        buckets = timeline.history.buckets("e1", level)
         total = sum(bucket.ok for bucket in buckets)
-        # What the open buckets of finer levels hold is not yet in the coarser ones.
-        open_finer = sum(line.history.tracks["e1"].open_buckets[finer].ok for finer in range(level))
+        # Open buckets of finer levels are not yet merged into the coarser ones.
+        open_finer = sum(timeline.history.tracks["e1"].open_buckets[finer].ok for finer in range(level))
         assert total + open_finer >= sent - (sent if level == 0 else 0) and total <= sent
         assert total + open_finer == sent or level == 0
-    assert len(line.history.buckets("e1", 0)) <= 181
+    assert len(timeline.history.buckets("e1", 0)) <= 181
 
 
 def test_a_sealed_bucket_is_read_back_as_it_was() -> None:
     bucket = Bucket(at_us=START_US, sends=3, ok=2, errors=1, max_load=0.5, load_sum=1.5, load_reports=3)
     bucket.latency.add(12.0)
-    again = Bucket.from_bytes(bucket.to_bytes())
-    assert again.to_bytes() == bucket.to_bytes() and again.summary() == bucket.summary()
+    decoded = Bucket.from_bytes(bucket.to_bytes())
+    assert decoded.to_bytes() == bucket.to_bytes() and decoded.summary() == bucket.summary()
 
 
 def test_five_thousand_engines_come_and_go_within_the_stated_memory() -> None:
-    most = 1 << 20
+    max_bytes = 1 << 20
     tracemalloc.start()
-    line = make_timeline(most, raw_s=30)
-    before = tracemalloc.get_traced_memory()[0]
+    timeline = make_timeline(max_bytes, raw_s=30)
+    traced_before = tracemalloc.get_traced_memory()[0]
     for number in range(5000):
         now = START_US + number * SECOND_US // 10
         name = f"engine-{number}"
-        line.record_engine_list(now, engine_list(name))
+        timeline.record_engine_list(now, engine_list(name))
         for query in range(6):
-            line.record_sent(now, name, number * 10 + query, 0, "short", 1e5)
-            line.record_ended(now + 5000, name, number * 10 + query, 0, api.Outcome.OK, 5000)
+            timeline.record_sent(now, name, number * 10 + query, 0, "short", 1e5)
+            timeline.record_ended(now + 5000, name, number * 10 + query, 0, api.Outcome.OK, 5000)
         if number >= 20:
-            line.record_engine_list(now, engine_list(f"engine-{number - 20}", state=api.EngineState.REMOVED))
+            timeline.record_engine_list(
+                now, engine_list(f"engine-{number - 20}", state=api.EngineState.REMOVED)
+            )
         if number % 3 == 0:
-            line.tick(now)
-    grown = tracemalloc.get_traced_memory()[0] - before
+            timeline.tick(now)
+    grown_bytes = tracemalloc.get_traced_memory()[0] - traced_before
     tracemalloc.stop()
-    assert line.history.used_bytes <= most and grown <= 1.5 * most
-    assert len(line.history.tracks) <= most // 2 // TRACK_BYTES + 20
-    assert len(line.history.slot_names) <= 2 * len(line.history.tracks) + 64 + 300 * 10
-    assert len(line.detector.engines) <= len(line.history.tracks) + 20
+    assert timeline.history.used_bytes <= max_bytes and grown_bytes <= 1.5 * max_bytes
+    assert len(timeline.history.tracks) <= max_bytes // 2 // TRACK_BYTES + 20
+    assert len(timeline.history.slot_names) <= 2 * len(timeline.history.tracks) + 64 + 300 * 10
+    assert len(timeline.detector.engines) <= len(timeline.history.tracks) + 20
 
 
 def test_remarks_of_one_kind_are_recorded_once_a_second_with_their_count() -> None:
-    line = make_timeline()
-    line.record_engine_list(START_US, engine_list("e1"))
+    timeline = make_timeline()
+    timeline.record_engine_list(START_US, engine_list("e1"))
     for number in range(500):
-        line.record_remarks(
+        timeline.record_remarks(
             START_US + number * 4000, [api.EngineDecision("e1", api.Reason.COLD_BUDGET_SPENT, number)]
         )
-        line.tick(START_US + number * 4000)
-    line.tick(START_US + 10 * SECOND_US)
-    rows = [row for row in line.history.rows("e1") if row.kind is Kind.DECIDED]
+        timeline.tick(START_US + number * 4000)
+    timeline.tick(START_US + 10 * SECOND_US)
+    rows = [row for row in timeline.history.rows("e1") if row.kind is Kind.DECIDED]
     assert sum(row.a for row in rows) == 500 and len(rows) <= 6
-    assert sum(bucket.passed_over for bucket in line.history.buckets("e1", 0)) == 500
+    assert sum(bucket.passed_over for bucket in timeline.history.buckets("e1", 0)) == 500
 
 
 def test_the_routing_policy_remarks_why_it_passed_over_an_engine() -> None:
@@ -138,29 +144,29 @@
     from .helpers import settings as given_settings
 
     cold = engine("e1", started_us=99 * SECOND_US)
-    driver = PolicyDriver(given_settings(tip_multiple=0.1), cold, engine("e2"))
+    driver = PolicyDriver(given_settings(overload_multiple=0.1), cold, engine("e2"))
     driver.policy.decision_log = []
     driver.serve_queries()
     driver.finish_attempt(999, api.Outcome.OK)
     for query in range(60):
         driver.arrive_query(query)
-    reasons = {remark.reason for remark in driver.policy.decision_log if remark.engine == "e1"}
+    reasons = {decision.reason for decision in driver.policy.decision_log if decision.engine == "e1"}
     assert api.Reason.COLD_BUDGET_SPENT in reasons
     assert len(driver.policy.decision_log) <= 256
     driver.policy.decision_log = []
     driver.finish_attempt(0, api.Outcome.CONNECT_FAILED)
     driver.receive_engine_list(engine("e2", state=api.EngineState.DRAINING), kind=api.ListKind.DELTA)
-    said = {remark.reason for remark in driver.policy.decision_log}
-    assert {api.Reason.BACKOFF_STARTED, api.Reason.DRAINED} <= said
+    later_reasons = {decision.reason for decision in driver.policy.decision_log}
+    assert {api.Reason.BACKOFF_STARTED, api.Reason.DRAINED} <= later_reasons
 
 
 def test_remarks_change_no_decision() -> None:
     from .helpers import PolicyDriver
     from .helpers import settings as given_settings
 
-    def play(tell: bool) -> list[api.Action]:
+    def run_queries(log_decisions: bool) -> list[api.Action]:
         driver = PolicyDriver(given_settings(), *(engine(f"e{n}") for n in range(4)))
-        driver.policy.decision_log = [] if tell else None
+        driver.policy.decision_log = [] if log_decisions else None
         random = Random(5)
         driver.serve_queries()
         for query in range(300):
@@ -168,8 +174,8 @@
             outcome = random.choice([api.Outcome.OK, api.Outcome.FULL, api.Outcome.RESET])
             driver.finish_attempt(random.randrange(query + 1), outcome)
             driver.advance(50_000)
-            if tell:
+            if log_decisions:
                 driver.policy.decision_log = []
         return driver.actions
 
-    assert play(True) == play(False)
+    assert run_queries(True) == run_queries(False)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line of the program as it runs: over sockets, its files, its live view, its command line."""
+"""The timeline of a running gateway: over sockets, with its files, its live view and its command line."""
 
 import asyncio
 import csv
@@ -31,75 +31,77 @@
 
 
 @contextmanager
-def running_gateway(folder: Path, *engines: Engine, **timeline: object) -> Iterator[Deployment]:
-    """A gateway with an operator's file in its environment."""
-    path = folder / "whintrail.json"
+def running_gateway(directory: Path, *engines: Engine, **timeline: object) -> Iterator[Deployment]:
+    """Start a gateway with an operator's file that has these timeline settings."""
+    path = directory / "whintrail.json"
     path.write_text(json.dumps({"timeline": timeline}))
     os.environ["WHINTRAIL_FILE"] = str(path)
     try:
-        given = Deployment(folder, list(engines), 256)
+        deployment = Deployment(directory, list(engines), 256)
     finally:
         del os.environ["WHINTRAIL_FILE"]
     try:
-        yield given
+        yield deployment
     finally:
-        given.end()
+        deployment.end()
 
 
-def stop_gateway(given: Deployment) -> None:
-    given.gateway.signal(signal.SIGTERM)
-    assert given.gateway.process.wait(15) == 0
+def stop_gateway(deployment: Deployment) -> None:
+    deployment.gateway.signal(signal.SIGTERM)
+    assert deployment.gateway.process.wait(15) == 0
 
 
 def test_every_attempt_and_its_end_is_stored_after_shutdown(tmp_path: Path) -> None:
-    one, two = Engine("s-1"), Engine("s-2")
+    first, second = Engine("s-1"), Engine("s-2")
     store = {"directory": str(tmp_path / "store"), "flush_every_s": 0.1}
-    with running_gateway(tmp_path, one, two, store=store) as given:
-        client = given.client()
+    with running_gateway(tmp_path, first, second, store=store) as deployment:
+        client = deployment.client()
         for _ in range(40):
             assert client.ask(query()).rows
-        given.bulletin.publish(two.entry("leaving"))
+        deployment.bulletin.publish(second.entry("leaving"))
         time.sleep(0.3)
-        stop_gateway(given)
-        assert "event=timeline" in given.gateway.text()
+        stop_gateway(deployment)
+        assert "event=timeline" in deployment.gateway.text()
     with Reader.open(tmp_path / "store") as reader:
-        for each in (one, two):
-            rows = list(reader.rows(each.name))
-            assert sum(row.kind is Kind.SENT for row in rows) == len(each.done)
-            assert sum(row.kind is Kind.ENDED for row in rows) == len(each.done)
-        whats = [row.describe(reader.classes) for row in reader.rows("s-2")]
-    assert "listed as draining" in whats and any("drained" in what for what in whats)
-    assert len(one.done) + len(two.done) == 40
+        for server in (first, second):
+            rows = list(reader.rows(server.name))
+            assert sum(row.kind is Kind.SENT for row in rows) == len(server.done)
+            assert sum(row.kind is Kind.ENDED for row in rows) == len(server.done)
+        descriptions = [row.describe(reader.classes) for row in reader.rows("s-2")]
+    assert "listed as draining" in descriptions and any(
+        "drained" in description for description in descriptions
+    )
+    assert len(first.done) + len(second.done) == 40
     assert main(["timeline", "verify", "--store", str(tmp_path / "store")]) == 0
 
 
 def test_an_unusable_store_is_logged_and_the_gateway_serves(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    with running_gateway(tmp_path, Engine(), store={"directory": str(tmp_path / "file")}) as given:
-        assert given.client().ask(query()).rows
-        assert "the store is off" in given.gateway.text()
+    with running_gateway(tmp_path, Engine(), store={"directory": str(tmp_path / "file")}) as deployment:
+        assert deployment.client().ask(query()).rows
+        assert "the store is off" in deployment.gateway.text()
 
 
 def test_a_bad_operators_file_at_the_start_and_on_sighup(tmp_path: Path) -> None:
     path = tmp_path / "whintrail.json"
-    with running_gateway(tmp_path, Engine(), memory_mb=1) as given:
+    with running_gateway(tmp_path, Engine(), memory_mb=1) as deployment:
         path.write_text('{"timeline": {"memory_mb": "much"}}')
-        given.gateway.signal(signal.SIGHUP)
-        wait_for(lambda: "the old operator's file stays in force" in given.gateway.text())
-        assert "$.timeline.memory_mb" in given.gateway.text()
-        assert given.client().ask(query()).rows
+        deployment.gateway.signal(signal.SIGHUP)
+        wait_for(lambda: "the old operator's file stays in force" in deployment.gateway.text())
+        assert "$.timeline.memory_mb" in deployment.gateway.text()
+        assert deployment.client().ask(query()).rows
         path.write_text('{"logging": {"format": "json"}, "timeline": {"memory_mb": 1}}')
-        given.gateway.signal(signal.SIGHUP)
-        wait_for(lambda: '"event":"operator\'s file taken' in given.gateway.text())
-        assert given.client().ask(query()).rows
+        deployment.gateway.signal(signal.SIGHUP)
+        wait_for(lambda: '"event":"operator\'s file taken' in deployment.gateway.text())
+        assert deployment.client().ask(query()).rows
 
 
 def test_the_live_view_shows_engines_and_rows_and_the_command_line_reads_it(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = str(tmp_path / "t.sock")
-    with running_gateway(tmp_path, Engine("s-1"), socket=path) as given:
-        assert given.client().ask(query()).rows
+    with running_gateway(tmp_path, Engine("s-1"), socket=path) as deployment:
+        assert deployment.client().ask(query()).rows
         assert os.stat(path).st_mode & 0o077 == 0
         assert main(["timeline", "show", "--socket", path, "--format", "json"]) == 0
         (row,) = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
@@ -108,23 +110,23 @@
         table = capsys.readouterr().out
         assert "drawn for query 1 (lookup), attempt 0" in table and "listed as ready" in table
         assert main(["timeline", "show", "--socket", path, "s-1", "--level", "1s", "--format", "json"]) == 0
-        rolled = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-        assert sum(row["ok"] for row in rolled) == 1
+        rollups = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
+        assert sum(row["ok"] for row in rollups) == 1
         assert main(["timeline", "show", "--socket", path, "nobody"]) == 1
         assert main(["timeline", "events", "--socket", path]) == 0
-        stop_gateway(given)
+        stop_gateway(deployment)
     assert not os.path.exists(path)
     assert main(["timeline", "show", "--socket", path]) == 1
 
 
-# --- The live view alone.
+# --- The live view without a gateway.
 
 
 def timeline_with(*detections: Detection) -> Timeline:
-    line = Timeline(1 << 20, 300 * SECOND_US, Thresholds(), ("short",), 0)
-    line.record_engine_list(SECOND_US, api.EngineListReceived(api.ListKind.CACHED, (engine("e1"),)))
-    line.detections.extend(detections)
-    return line
+    timeline = Timeline(1 << 20, 300 * SECOND_US, Thresholds(), ("short",), 0)
+    timeline.record_engine_list(SECOND_US, api.EngineListReceived(api.ListKind.CACHED, (engine("e1"),)))
+    timeline.detections.extend(detections)
+    return timeline
 
 
 def detection(number: int) -> Detection:
@@ -132,7 +134,7 @@
 
 
 def send_requests(path: Path, requests: list[bytes]) -> list[list[bytes]]:
-    """Each on a connection of its own."""
+    """Send each request on its own connection and return the lines of the answers."""
     answers = []
     for request in requests:
         with socket.socket(socket.AF_UNIX) as sock:
@@ -142,7 +144,7 @@
             with sock.makefile("rb") as file:
                 try:
                     answers.append(file.readlines())
-                except ConnectionResetError:  # it was hung up on with the rest unread
+                except ConnectionResetError:  # the server closed with unread input
                     answers.append([b"error"])
     return answers
 
@@ -159,11 +161,11 @@
     ]
 
     async def run() -> list[list[bytes]]:
-        live = LiveView(str(path), timeline_with(), 2, Counters())
-        task = asyncio.create_task(live.run())
+        live_view = LiveView(str(path), timeline_with(), 2, Counters())
+        task = asyncio.create_task(live_view.run())
         answers = await asyncio.to_thread(send_requests, path, requests)
         task.cancel()
-        live.close()
+        live_view.close()
         return answers
 
     answers = asyncio.run(run())
@@ -172,89 +174,91 @@
 
 
 def test_a_follower_that_does_not_read_misses_events_and_blocks_no_other(tmp_path: Path) -> None:
-    path, got = tmp_path / "s", list[dict[str, object]]()
+    path, received = tmp_path / "s", list[dict[str, object]]()
     release = threading.Event()
 
-    def follow(read: bool) -> None:
+    def read_events(read_at_once: bool) -> None:
         with socket.socket(socket.AF_UNIX) as sock:
             sock.settimeout(10)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(str(path))
             sock.sendall(b'{"what": "events", "follow": true}\n')
-            if not read:
+            if not read_at_once:
                 release.wait(10)
             with sock.makefile("rb") as file:
                 for line in file:
-                    got.append(json.loads(line))
-                    if got[-1].get("at_us") == 99_999 * SECOND_US:
+                    received.append(json.loads(line))
+                    if received[-1].get("at_us") == 99_999 * SECOND_US:
                         return
 
     async def run() -> None:
-        live = LiveView(str(path), timeline_with(detection(1)), 2, Counters())
-        task = asyncio.create_task(live.run())
-        stuck = asyncio.create_task(asyncio.to_thread(follow, False))
-        while not live.followers:
+        live_view = LiveView(str(path), timeline_with(detection(1)), 2, Counters())
+        task = asyncio.create_task(live_view.run())
+        slow_client = asyncio.create_task(asyncio.to_thread(read_events, False))
+        while not live_view.followers:
             await asyncio.sleep(0.01)
         for number in range(50):
-            live.publish([detection(number * 100 + n) for n in range(100)])
+            live_view.publish([detection(number * 100 + n) for n in range(100)])
             await asyncio.sleep(0.002)
-        (follower,) = live.followers
+        (follower,) = live_view.followers
         assert len(follower.queue) <= FOLLOWER_QUEUE_LINES and follower.missed > 0
         release.set()
         while follower.queue or follower.missed:
             await asyncio.sleep(0.01)
-        live.publish([detection(99_999)])
-        await asyncio.wait_for(stuck, 10)
-        while live.followers:  # what has gone leaves nothing behind
+        live_view.publish([detection(99_999)])
+        await asyncio.wait_for(slow_client, 10)
+        while live_view.followers:  # a closed client leaves no follower behind
             await asyncio.sleep(0.01)
         task.cancel()
-        live.close()
+        live_view.close()
 
     asyncio.run(run())
-    assert got[0]["at_us"] == SECOND_US
-    missed = sum(int(str(row["missed"])) for row in got if "missed" in row)
-    assert missed > 0 and missed + sum("engine" in row for row in got) == 5002
+    assert received[0]["at_us"] == SECOND_US
+    missed = sum(int(str(row["missed"])) for row in received if "missed" in row)
+    assert missed > 0 and missed + sum("engine" in row for row in received) == 5002
 
 
 # --- The command line on a store.
 
 
-def write_store(folder: Path) -> None:
+def write_store(directory: Path) -> None:
     from .test_store import feed_queries, make_timeline, make_writer, run_steps
 
-    line, store = make_timeline(), make_writer(folder)
-    feed_queries(line, 400)
-    run_steps(store.write_events(line))
-    at = line.history.now_us
+    timeline, writer = make_timeline(), make_writer(directory)
+    feed_queries(timeline, 400)
+    run_steps(writer.write_events(timeline))
+    now_us = timeline.history.now_us
     run_steps(
-        store.write_detections(
-            [Detection("e1", Verdict.SLOW, True, at - 2 * SECOND_US, at - 3 * SECOND_US, {"x": 3.0})]
+        writer.write_detections(
+            [Detection("e1", Verdict.SLOW, True, now_us - 2 * SECOND_US, now_us - 3 * SECOND_US, {"x": 3.0})]
         )
     )
     run_steps(
-        store.write_detections([Detection("e1", Verdict.SLOW, False, at - SECOND_US, at - SECOND_US, {})])
+        writer.write_detections(
+            [Detection("e1", Verdict.SLOW, False, now_us - SECOND_US, now_us - SECOND_US, {})]
+        )
     )
-    store.close()
+    writer.close()
 
 
 def test_show_events_and_export_agree_on_a_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     write_store(tmp_path)
-    at = ["--store", str(tmp_path)]
-    assert main(["timeline", "show", *at]) == 0
+    source = ["--store", str(tmp_path)]
+    assert main(["timeline", "show", *source]) == 0
     assert capsys.readouterr().out.split() == ["ENGINE", "e0", "e1", "e2", "e3", "e4"]
-    assert main(["timeline", "show", *at, "e1", "--format", "json"]) == 0
+    assert main(["timeline", "show", *source, "e1", "--format", "json"]) == 0
     shown = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-    assert main(["timeline", "export", *at, "e1", "--form", "csv"]) == 0
+    assert main(["timeline", "export", *source, "e1", "--form", "csv"]) == 0
     exported = list(csv.DictReader(io.StringIO(capsys.readouterr().out)))
     assert [row["what"] for row in shown] == [row["what"] for row in exported] != []
-    assert main(["timeline", "show", *at, "e1", "--limit", "3", "--format", "json"]) == 0
+    assert main(["timeline", "show", *source, "e1", "--limit", "3", "--format", "json"]) == 0
     assert [json.loads(line) for line in capsys.readouterr().out.splitlines()] == shown[-3:]
-    assert main(["timeline", "events", *at]) == 0
+    assert main(["timeline", "events", *source]) == 0
     assert "slow" in capsys.readouterr().out
-    assert main(["timeline", "show", *at, "nobody"]) == 1
+    assert main(["timeline", "show", *source, "nobody"]) == 1
     assert main(["timeline", "show", "e1"]) == 2
-    assert main(["timeline", "show", *at, "--since", "whenever"]) == 2
-    assert main(["timeline", "events", *at, "--follow"]) == 2
+    assert main(["timeline", "show", *source, "--since", "whenever"]) == 2
+    assert main(["timeline", "events", *source, "--follow"]) == 2
     assert main(["timeline", "show", "--store", str(tmp_path / "none")]) == 1
 
 
@@ -262,11 +266,11 @@
 def test_an_incident_is_drawn(tmp_path: Path, suffix: str) -> None:
     write_store(tmp_path / "store")
     out = tmp_path / f"incident.{suffix}"
-    plot = ["timeline", "plot", "--store", str(tmp_path / "store")]
-    assert main([*plot, "--out", str(out)]) == 0
+    command = ["timeline", "plot", "--store", str(tmp_path / "store")]
+    assert main([*command, "--out", str(out)]) == 0
     assert out.stat().st_size > 5_000
     assert (
         main(["timeline", "plot", "--store", str(tmp_path / "store"), "--out", str(tmp_path / "x.gif")]) == 2
     )
-    empty = ["--since", "1s", "--out", str(out)]
-    assert main(["timeline", "plot", "--store", str(tmp_path / "store"), *empty]) == 1
+    empty_time = ["--since", "1s", "--out", str(out)]
+    assert main(["timeline", "plot", "--store", str(tmp_path / "store"), *empty_time]) == 1
--- a/whintrail/timeline/__init__.py
+++ b/whintrail/timeline/__init__.py
@@ -1,4 +1,5 @@
-"""What each engine went through: the record, its judge, their store and the views of them.
+"""The timeline: what happened on each engine, the anomaly detector, the on-disk store and the views.
 
-Pure: kinds, columns, rollups, record, peers, judge, core. With files or sockets: store, live, plot.
+Without I/O: events, columns, rollups, history, baseline, detector, core. With files or sockets: store,
+live_view, plot, recorder.
 """
--- a/whintrail/timeline/columns.py
+++ b/whintrail/timeline/columns.py
@@ -1,7 +1,7 @@
-"""Raw events in compact columns: 22 bytes each, in chunks, the oldest of which goes as a whole.
+"""Raw events in compact columns of 22 bytes an event, in chunks of which the oldest is dropped first.
 
-A chunk holds an array a column. Reading one engine's events is rare and looks through the slots' column; an
-event costs six appends and keeps no object alive.
+A chunk holds one array for each column. Adding an event costs five appends and keeps no object alive.
+Reading the events of one engine is rare and scans the column of slots.
 """
 
 from array import array
@@ -13,10 +13,12 @@
 
 
 class Chunk:
+    """A run of consecutive events; `first_number` is the number of its first event."""
+
     __slots__ = ("a", "b", "codes", "first_number", "slots", "times")
 
-    def __init__(self, first: int) -> None:
-        self.first_number = first  # the number of its first event
+    def __init__(self, first_number: int) -> None:
+        self.first_number = first_number
         self.times, self.slots = array("q"), array("I")
         self.codes = array("H")  # kind * 256 + code
         self.a, self.b = array("f"), array("f")
@@ -24,13 +26,13 @@
     def __len__(self) -> int:
         return len(self.times)
 
-    def row(self, i: int) -> RawRow:
-        code = self.codes[i]
-        return self.times[i], self.slots[i], code >> 8, code & 0xFF, self.a[i], self.b[i]
+    def row(self, index: int) -> RawRow:
+        code = self.codes[index]
+        return self.times[index], self.slots[index], code >> 8, code & 0xFF, self.a[index], self.b[index]
 
 
 class Columns:
-    """Events numbered from 0 in the order in which they came. `most_bytes` bounds what is kept."""
+    """A bounded log of events, numbered from 0 in order of arrival. `max_bytes` bounds what is kept."""
 
     def __init__(self, max_bytes: int) -> None:
         self.rows_per_chunk = max(256, min(4096, max_bytes // ROW_BYTES // 8))
@@ -41,30 +43,30 @@
         self._bind_appends()
 
     def _bind_appends(self) -> None:
-        """An event costs five appends; looking each of them up again would double that."""
-        last = self.open_chunk
+        """Keep the bound `append` methods: looking up five of them for each event would double its cost."""
+        chunk = self.open_chunk
         self._append_time, self._append_slot, self._append_code = (
-            last.times.append,
-            last.slots.append,
-            last.codes.append,
+            chunk.times.append,
+            chunk.slots.append,
+            chunk.codes.append,
         )
-        self._append_a, self._append_b = last.a.append, last.b.append
-        self._free_rows = self.rows_per_chunk - len(last)
+        self._append_a, self._append_b = chunk.a.append, chunk.b.append
+        self._free_rows = self.rows_per_chunk - len(chunk)
 
     @property
     def next_number(self) -> int:
-        """The number that the next event gets."""
+        """The number of the next event to be added."""
         return self.open_chunk.first_number + len(self.open_chunk)
 
     @property
     def used_bytes(self) -> int:
         return sum(len(chunk) for chunk in self.chunks) * ROW_BYTES
 
-    def add(self, at: int, slot: int, kind: int, code: int, a: float, b: float) -> None:
+    def add(self, at_us: int, slot: int, kind: int, code: int, a: float, b: float) -> None:
         if not self._free_rows:
             self._add_chunk()
         self._free_rows -= 1
-        self._append_time(at)
+        self._append_time(at_us)
         self._append_slot(slot)
         self._append_code(kind << 8 | code)
         self._append_a(a)
@@ -77,18 +79,18 @@
             self.dropped_rows += len(self.chunks.popleft())
         self._bind_appends()
 
-    def drop_chunks_before(self, at: int) -> None:
-        """Let go of whole chunks that hold nothing later."""
-        while len(self.chunks) > 1 and self.chunks[0].times[-1] < at:
+    def drop_chunks_before(self, time_us: int) -> None:
+        """Drop the chunks whose newest event is older than that time; the open chunk stays."""
+        while len(self.chunks) > 1 and self.chunks[0].times[-1] < time_us:
             self.dropped_rows += len(self.chunks.popleft())
 
     @property
     def oldest_us(self) -> int | None:
-        first = self.chunks[0]
-        return first.times[0] if len(first) else None
+        oldest = self.chunks[0]
+        return oldest.times[0] if len(oldest) else None
 
     def rows(self, slot: int | None = None, since: int = 0, until: int = 1 << 62) -> Iterator[RawRow]:
-        """In order of arrival; those of one engine, or of all."""
+        """The events of one engine, or of all, in order of arrival."""
         for chunk in list(self.chunks):
             if not len(chunk) or chunk.times[-1] < since or chunk.times[0] > until:
                 continue
@@ -97,11 +99,15 @@
                     yield chunk.row(i)
 
     def read_from(self, first_number: int, max_rows: int) -> tuple[list[RawRow], int, int]:
-        """Up to `most` events from that number on; the number after them, and how many of them were gone."""
-        first = self.chunks[0].first_number
-        gone, at, found = max(0, first - first_number), max(first, first_number), list[RawRow]()
+        """Up to `max_rows` events from that number on.
+
+        Returns the events, the number after the last of them, and how many of the requested events had
+        already been dropped.
+        """
+        oldest = self.chunks[0].first_number
+        dropped, next_number, found = max(0, oldest - first_number), max(oldest, first_number), list[RawRow]()
         for chunk in self.chunks:
-            begin = at - chunk.first_number
+            begin = next_number - chunk.first_number
             if 0 <= begin < len(chunk) and len(found) < max_rows:
                 end = min(len(chunk), begin + max_rows - len(found))
                 codes = chunk.codes[begin:end]
@@ -114,5 +120,5 @@
                     chunk.b[begin:end],
                 )
                 found += zip(*columns, strict=True)
-                at = chunk.first_number + end
-        return found, at, gone
+                next_number = chunk.first_number + end
+        return found, next_number, dropped
--- a/whintrail/timeline/core.py
+++ b/whintrail/timeline/core.py
@@ -1,4 +1,7 @@
-"""The time line as a whole: what happens goes to the record and to the judge. Pure; one caller feeds it."""
+"""The timeline: takes the gateway's events and passes them to the history and the detector.
+
+Without I/O, and called from one task only.
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -21,9 +24,12 @@
 from whintrail.timeline.rollups import Bucket
 
 SECOND_US = 1_000_000
-SENT_KIND, ENDED_KIND, OK_CODE = int(Kind.SENT), int(Kind.ENDED), OUTCOME_CODE[api.Outcome.OK]
-QUEUE_BATCH_EVENTS = 64  # events entered in one go, about half a millisecond
-MAX_KEPT_DETECTIONS = 1_000  # of the judge's, kept for views
+SENT_KIND = int(Kind.SENT)
+ENDED_KIND = int(Kind.ENDED)
+OK_CODE = OUTCOME_CODE[api.Outcome.OK]
+QUEUE_BATCH_EVENTS = 64  # applied together in about half a millisecond
+MAX_KEPT_DETECTIONS = 1_000  # the latest, kept for the live view
+# Reasons that are counted as "passed over" in the roll-ups.
 PASSED_OVER_REASONS = frozenset(
     {
         api.Reason.BACKING_OFF,
@@ -37,17 +43,20 @@
 
 
 @dataclass(slots=True)
-class PendingRemarks:
-    """Remarks of one kind about one engine within a second: told as one, with their number."""
+class PendingDecisions:
+    """Decisions with the same reason on one engine within a second: recorded as one event with a count."""
 
     track: EngineTrack
     reason: api.Reason
     first_at_us: int
-    count: int = 0
+    count: int = 0  # without the first, which was recorded at once
 
 
 class Timeline:
-    """Times are Unix microseconds. `classes`: the names whose place is the code of a class."""
+    """Records events of engines and queries and detects anomalies.
+
+    Times are Unix microseconds. The code of a query class is the position of its name in `classes`.
+    """
 
     def __init__(
         self,
@@ -62,43 +71,43 @@
         self.classes = classes
         self.class_codes = {name: code for code, name in enumerate(classes)}
         self.detections: deque[Detection] = deque(maxlen=MAX_KEPT_DETECTIONS)
-        self.pending_remarks: dict[tuple[str, api.Reason], PendingRemarks] = {}
+        self.pending_decisions: dict[tuple[str, api.Reason], PendingDecisions] = {}
         self.last_cleanup_us = 0
         self._queue: list[tuple[Callable[..., None], tuple[object, ...]]] = []
 
     @property
     def history(self) -> EventHistory:
-        """With all that has happened."""
+        """The history, after all queued events have been applied."""
         self.process_queue()
         return self._history
 
     @property
     def detector(self) -> Detector:
-        """With all that has happened."""
+        """The detector, after all queued events have been applied."""
         self.process_queue()
         return self._detector
 
-    # --- What happens: put aside on the request's way, entered a batch at a time, which costs half as much.
+    # --- Events. They are queued on the request path and applied in batches, which halves their cost.
 
     def _enqueue(self, handler: Callable[..., None], *arguments: object) -> None:
-        waiting = self._queue
-        waiting.append((handler, arguments))
-        if len(waiting) >= QUEUE_BATCH_EVENTS:
+        queue = self._queue
+        queue.append((handler, arguments))
+        if len(queue) >= QUEUE_BATCH_EVENTS:
             self.process_queue()
 
     def process_queue(self) -> None:
-        """Enter what was put aside. What fails costs itself only; the last failure is raised at the end."""
+        """Apply the queued events, all of them even if one fails; the last error is raised at the end."""
         if not self._queue:
             return
-        waiting, self._queue = self._queue, []
-        failed: Exception | None = None
-        for take, what in waiting:
+        events, self._queue = self._queue, []
+        last_error: Exception | None = None
+        for handler, arguments in events:
             try:
-                take(*what)
+                handler(*arguments)
             except Exception as error:
-                failed = error
-        if failed is not None:
-            raise failed
+                last_error = error
+        if last_error is not None:
+            raise last_error
 
     def record_engine_list(self, now: int, event: api.EngineListReceived) -> None:
         self._enqueue(self._apply_engine_list, now, event)
@@ -126,14 +135,14 @@
     def record_note(self, now: int, engine: str, query: int, topic: api.StatusTopic, value: float) -> None:
         self._enqueue(self._apply_note, now, engine, query, topic, value)
 
-    def record_remarks(self, now: int, remarks: list[api.EngineDecision]) -> None:
-        """Why the module did, or didn't; the list is the time line's from now on."""
-        self._enqueue(self._apply_remarks, now, remarks)
+    def record_remarks(self, now: int, decisions: list[api.EngineDecision]) -> None:
+        """Reasons for the routing policy's decisions. The timeline takes ownership of the list."""
+        self._enqueue(self._apply_decisions, now, decisions)
 
     def record_agreement(
         self, now: int, engine: str, decision: str, value: float, gateway_number: float
     ) -> None:
-        """What the fleet decided, of an engine or of the fleet itself."""
+        """A decision of the fleet on an engine, or on the fleet itself under FLEET_NAME."""
         self._enqueue(self._apply_agreement, now, engine, decision, value, gateway_number)
 
     def _apply_agreement(
@@ -144,16 +153,20 @@
         self._history.add(self._history.get_or_create_track(engine), Kind.AGREED, code, value, gateway_number)
 
     def _apply_engine_list(self, now: int, event: api.EngineListReceived) -> None:
-        record = self._history
-        now = record.advance_clock(now)
+        history = self._history
+        now = history.advance_clock(now)
         if event.kind is api.ListKind.FAILED:
             return
-        named = {entry.engine for entry in event.entries}
+        listed = {entry.engine for entry in event.entries}
         if event.kind is not api.ListKind.DELTA:
-            known = [e for e, track in record.tracks.items() if track.removed_us is None and e != FLEET_NAME]
-            for engine in known:
-                if engine not in named:
-                    track = record.tracks[engine]
+            present = [
+                name
+                for name, track in history.tracks.items()
+                if track.removed_us is None and name != FLEET_NAME
+            ]
+            for engine in present:
+                if engine not in listed:
+                    track = history.tracks[engine]
                     self._apply_entry(
                         now, api.EngineEntry(engine, track.kind, "", 0, 1.0, api.EngineState.REMOVED, None)
                     )
@@ -164,13 +177,13 @@
         if entry.state is api.EngineState.REMOVED and entry.engine not in self._history.tracks:
             return
         track = self._history.get_or_create_track(entry.engine)
-        age = -1.0 if entry.started_us is None else (now - entry.started_us) / SECOND_US
+        age_s = -1.0 if entry.started_us is None else (now - entry.started_us) / SECOND_US
         track.kind, track.state = entry.kind, entry.state
         if entry.state is api.EngineState.REMOVED:
             self._history.mark_removed(track)
         else:
             self._history.mark_returned(track)
-        self._history.add(track, Kind.LISTED, STATE_CODE[entry.state], entry.weight, age)
+        self._history.add(track, Kind.LISTED, STATE_CODE[entry.state], entry.weight, age_s)
         self._detector.update_engine(now, track.slot, entry)
 
     def _apply_probe(self, now: int, event: api.ProbeFinished) -> None:
@@ -197,24 +210,24 @@
     def _apply_sent(
         self, now: int, engine: str, query: int, attempt: int, class_name: str, estimate_us: float | None
     ) -> None:
-        record = self._history
-        if now > record.now_us:  # as Record.at does, on the way of every request
-            record.now_us = now
+        history = self._history
+        if now > history.now_us:  # EventHistory.advance_clock, inlined on the request path
+            history.now_us = now
         else:
-            now = record.now_us
-        if (track := record.tracks.get(engine)) is None:
+            now = history.now_us
+        if (track := history.tracks.get(engine)) is None:
             return
-        cls = self.class_codes.get(class_name, 255)
+        class_code = self.class_codes.get(class_name, 255)
         track.last_us = now
-        record.columns.add(now, track.slot, SENT_KIND, cls, query, attempt)
-        track.local_attempts = held = track.local_attempts + 1
+        history.columns.add(now, track.slot, SENT_KIND, class_code, query, attempt)
+        track.local_attempts = attempts = track.local_attempts + 1
         bucket = track.open_buckets[0]
         if now - bucket.at_us >= SECOND_US:
-            bucket = record.current_bucket(track)
+            bucket = history.current_bucket(track)
         bucket.sends += 1
-        if held > bucket.max_held:
-            bucket.max_held = held
-        self._detector.record_sent(now, engine, query, attempt, cls, estimate_us)
+        if attempts > bucket.max_held:
+            bucket.max_held = attempts
+        self._detector.record_sent(now, engine, query, attempt, class_code, estimate_us)
 
     def _apply_ended(
         self,
@@ -226,26 +239,26 @@
         elapsed_us: int,
         report: api.LoadReport | None = None,
     ) -> None:
-        record = self._history
-        if now > record.now_us:
-            record.now_us = now
+        history = self._history
+        if now > history.now_us:
+            history.now_us = now
         else:
-            now = record.now_us
-        if (track := record.tracks.get(engine)) is None:
+            now = history.now_us
+        if (track := history.tracks.get(engine)) is None:
             return
         track.last_us = now
         if track.local_attempts:
             track.local_attempts -= 1
         bucket = track.open_buckets[0]
         if now - bucket.at_us >= SECOND_US:
-            bucket = record.current_bucket(track)
+            bucket = history.current_bucket(track)
         elapsed_ms = elapsed_us / 1000
-        if outcome is api.Outcome.OK:  # an Enum's hash is slow: not asked for on the ordinary path
-            record.columns.add(now, track.slot, ENDED_KIND, OK_CODE, query, elapsed_ms)
+        if outcome is api.Outcome.OK:  # hashing an Enum is slow, so the common case avoids the table
+            history.columns.add(now, track.slot, ENDED_KIND, OK_CODE, query, elapsed_ms)
             bucket.ok += 1
             bucket.latency.add(elapsed_ms)
         else:
-            record.columns.add(now, track.slot, ENDED_KIND, OUTCOME_CODE[outcome], query, elapsed_ms)
+            history.columns.add(now, track.slot, ENDED_KIND, OUTCOME_CODE[outcome], query, elapsed_ms)
             self._count_failure(bucket, outcome)
         if report is not None:
             self._apply_load_report(track, report, False)
@@ -269,67 +282,75 @@
         self._history.add(track, Kind.NOTED, TOPIC_CODE[topic], query, value)
         self._detector.record_progress(now, engine)
 
-    def _apply_remarks(self, now: int, remarks: list[api.EngineDecision]) -> None:
-        """The first of a kind at once, those of the same second with their
-        number, or one held query that asks every engine would fill the record."""
+    def _apply_decisions(self, now: int, decisions: list[api.EngineDecision]) -> None:
+        """Record the first decision of a kind at once, and the others of the same second with their count.
+
+        Otherwise a single waiting query, which is tried on every engine, would fill the history.
+        """
         now = self._history.advance_clock(now)
-        for remark in remarks:
-            if (track := self._history.tracks.get(remark.engine)) is None:
+        for decision in decisions:
+            if (track := self._history.tracks.get(decision.engine)) is None:
                 continue
-            if remark.reason in PASSED_OVER_REASONS:
+            if decision.reason in PASSED_OVER_REASONS:
                 self._history.current_bucket(track).passed_over += 1
-            found = self.pending_remarks.get((remark.engine, remark.reason))
-            if found is None:
-                self.pending_remarks[remark.engine, remark.reason] = PendingRemarks(track, remark.reason, now)
-                query = -1.0 if remark.query is None else remark.query
-                self._history.add(track, Kind.DECIDED, REASON_CODE[remark.reason], 1.0, query)
+            pending = self.pending_decisions.get((decision.engine, decision.reason))
+            if pending is None:
+                self.pending_decisions[decision.engine, decision.reason] = PendingDecisions(
+                    track, decision.reason, now
+                )
+                query = -1.0 if decision.query is None else decision.query
+                self._history.add(track, Kind.DECIDED, REASON_CODE[decision.reason], 1.0, query)
             else:
-                found.count += 1
+                pending.count += 1
 
     def tick(self, now: int) -> list[Detection]:
-        """What the judge calls; a few times a second."""
+        """Run the detector and return what it found; called a few times a second."""
         self.process_queue()
         now = self._history.advance_clock(now)
         self._detector.tick(now)
-        found, self._detector.detections = self._detector.detections, []
-        for happening in found:
-            self.detections.append(happening)
-            if (track := self._history.tracks.get(happening.engine)) is not None:
-                code = int(happening.verdict) + (0 if happening.begins else VERDICT_END_FLAG)
-                leading = next(iter(happening.evidence.values()), 0.0)
-                self._history.add(track, Kind.JUDGED, code, leading, 0.0)
-        for key, pending in list(self.pending_remarks.items()):
+        detections, self._detector.detections = self._detector.detections, []
+        for detection in detections:
+            self.detections.append(detection)
+            if (track := self._history.tracks.get(detection.engine)) is not None:
+                code = int(detection.verdict) + (0 if detection.begins else VERDICT_END_FLAG)
+                leading_figure = next(iter(detection.evidence.values()), 0.0)
+                self._history.add(track, Kind.JUDGED, code, leading_figure, 0.0)
+        for key, pending in list(self.pending_decisions.items()):
             if now - pending.first_at_us >= SECOND_US:
                 if pending.count:
                     code = REASON_CODE[pending.reason]
                     self._history.add(pending.track, Kind.DECIDED, code, pending.count, -1.0)
-                del self.pending_remarks[key]
+                del self.pending_decisions[key]
         if now - self.last_cleanup_us >= SECOND_US:
             self.last_cleanup_us = now
             self._history.expire()
             if len(self._detector.engines) > len(self._history.tracks):
-                for engine in [e for e in self._detector.engines if e not in self._history.tracks]:
+                for engine in [name for name in self._detector.engines if name not in self._history.tracks]:
                     self._detector.forget(engine)
-        return found
+        return detections
 
     # --- Views.
 
     def engines(self) -> list[dict[str, object]]:
-        """A line an engine: state, what we hold there, load and the verdicts in force."""
+        """One row for each engine: state, attempts of this gateway on it, load and active verdicts."""
         self.process_queue()
-        found: list[dict[str, object]] = []
+        rows: list[dict[str, object]] = []
         for track in self._history.tracks.values():
-            watched = self._detector.engines.get(track.engine)
-            active = [v.name.lower().replace("_", " ") for v in watched.active_verdicts] if watched else []
-            found.append(
+            monitored = self._detector.engines.get(track.engine)
+            verdicts = (
+                [verdict.name.lower().replace("_", " ") for verdict in monitored.active_verdicts]
+                if monitored
+                else []
+            )
+            rows.append(
                 {
                     "engine": track.engine,
                     "kind": track.kind,
                     "state": track.state.value,
                     "held": track.local_attempts,
                     "load": track.load,
-                    "verdicts": ", ".join(active) or None,
+                    "verdicts": ", ".join(verdicts) or None,
                     "last_us": track.last_us,
                 }
             )
-        return found
+        return rows
--- a/whintrail/timeline/errors.py
+++ b/whintrail/timeline/errors.py
@@ -1,5 +1,5 @@
-"""What ends a part of the time line; apart, so that to know it costs no import of that part."""
+"""The error that switches off the store; in its own module so that importing it doesn't import the store."""
 
 
 class StoreUnavailable(Exception):
-    """The disk can't be used: the reason."""
+    """The store's directory or disk can't be used; the message is the reason."""
--- a/whintrail/timeline/events.py
+++ b/whintrail/timeline/events.py
@@ -1,4 +1,7 @@
-"""The terms of a time line: kinds of raw events, their codes, and what the judge calls."""
+"""The kinds of raw events, their codes, and the detector's verdicts.
+
+Codes are stored: the order of the tuples below must not change, and new members go to the end.
+"""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -7,22 +10,23 @@
 
 
 class Kind(IntEnum):
-    """What a raw event is about. `a` and `b` are two figures; which ones is said here."""
+    """The kind of a raw event, which determines the meaning of its code and of its figures `a` and `b`."""
 
-    LISTED = 1  # code: state; a: cores or weight; b: age in s at the event, -1 where it is unknown
+    LISTED = 1  # code: state; a: cores or weight; b: age in s at the event, -1 if unknown
     PROBED = 2  # code: outcome; a: elapsed in ms
-    REPORTED = 3  # code: 1 probe, 0 answer; a: load (held or utilisation); b: share of memory, -1 unknown
-    SENT = 4  # code: class; a: the query's number; b: number of the attempt
-    ENDED = 5  # code: outcome; a: the query's number; b: elapsed in ms
-    DECIDED = 6  # code: reason; a: how often; b: the query's number, -1 for none
-    NOTED = 7  # code: topic; a: the query's number; b: value
-    JUDGED = 8  # code: verdict, +128 at its end; a: the leading figure of the evidence
-    AGREED = (
-        9  # code: of AGREED; a: fence, step or version, -1 for none; b: the gateway's number, -1 for none
-    )
+    REPORTED = 3  # code: 1 probe, 0 answer; a: load (queries or utilisation); b: memory share, -1 if unknown
+    SENT = 4  # code: class; a: query number; b: attempt number
+    ENDED = 5  # code: outcome; a: query number; b: elapsed in ms
+    DECIDED = 6  # code: reason; a: count; b: query number, -1 if none
+    NOTED = 7  # code: topic; a: query number; b: value
+    JUDGED = 8  # code: verdict, plus 128 at its end; a: first figure of the evidence
+    # code: index in AGREED; a: fence, step or version, -1 if none; b: gateway number, -1 if none
+    AGREED = 9
 
 
 class Verdict(IntEnum):
+    """A kind of anomaly of an engine."""
+
     STALLED = 1
     SLOW = 2
     FAILING = 3
@@ -39,8 +43,9 @@
 TOPICS = tuple(api.StatusTopic)
 TOPIC_CODE = {topic: code for code, topic in enumerate(TOPICS)}
 VERDICT_END_FLAG = 128
-# What the fleet decides: of an engine under its name, else under FLEET.
+# The track of decisions of the fleet that concern no single engine.
 FLEET_NAME = "(fleet)"
+# The fleet's decisions, as they are shown to operators.
 AGREED = (
     "slot granted",
     "slot free",
@@ -72,21 +77,21 @@
 )
 AGREED_CODE = {word: code for code, word in enumerate(AGREED)}
 
-# Outcomes that show that the engine works on what it is sent.
+# Outcomes that prove that the engine processes what it is sent.
 ANSWERED_OUTCOMES = frozenset({api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.NOT_STARTED})
-# Outcomes after which the engine's answer is unknown: silence.
+# Outcomes without an answer of the engine.
 UNANSWERED_OUTCOMES = frozenset({api.Outcome.TIMEOUT, api.Outcome.CANCELLED, api.Outcome.UNKNOWN})
 
 
 @dataclass(slots=True)
 class Detection:
-    """The judge's word on an engine: a behaviour that began, or its end. Times in Unix microseconds."""
+    """The begin or the end of an anomaly of an engine. Times are Unix microseconds."""
 
     engine: str
     verdict: Verdict
     begins: bool
-    at_us: int  # when it was called
-    since_us: int  # when it began, or ended, as far as can be told
+    at_us: int  # when it was detected
+    since_us: int  # estimated time of the begin or the end
     evidence: dict[str, float] = field(default_factory=dict)
 
     def describe(self) -> str:
@@ -97,7 +102,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """A raw event as it is read back."""
+    """A raw event as it is read back, with the engine's name."""
 
     at_us: int
     engine: str
@@ -107,7 +112,7 @@
     b: float
 
     def describe(self, classes: tuple[str, ...] = ()) -> str:
-        """In words, with the figures' units."""
+        """The event in words, with the units of its figures."""
         code, a, b = self.code, self.a, self.b
         match self.kind:
             case Kind.LISTED:
@@ -129,8 +134,8 @@
                 return f"query {a:.0f} notes {_code_name(TOPICS, code)} {b:.3g}"
             case Kind.AGREED:
                 word = AGREED[code] if code < len(AGREED) else f"code {code}"
-                figure, whose = f" {a:.0f}" if a >= 0 else "", f", gateway {b:.0f}" if b >= 0 else ""
-                return f"AGREED {word}{figure}{whose}"
+                value, gateway = f" {a:.0f}" if a >= 0 else "", f", gateway {b:.0f}" if b >= 0 else ""
+                return f"AGREED {word}{value}{gateway}"
             case Kind.JUDGED:
                 word = Verdict(code & ~VERDICT_END_FLAG).name.lower().replace("_", " ")
                 return f"{'no longer' if code & VERDICT_END_FLAG else 'JUDGED'} {word} ({a:.4g})"
--- a/whintrail/timeline/live_view.py
+++ b/whintrail/timeline/live_view.py
@@ -1,8 +1,10 @@
-"""The live view: a Unix socket that answers one JSON line with JSON lines. Off unless the file names it.
+"""The live view: a Unix socket that answers one JSON line with JSON lines.
 
-A request is {"what": "engines" | "show" | "events", ...}. Sizes are bounded before memory is taken; a client
-that doesn't read holds up nobody: a follower's queue is bounded, what it misses is counted and told, and one
-that takes nothing for seconds is hung up on.
+It is off unless the operator's file names its path.
+
+A request is {"what": "engines" | "show" | "events", ...}. Sizes are checked before memory is allocated. A
+client that doesn't read blocks no other: a follower's queue is bounded, it is told how many lines it missed,
+and its connection is closed when it reads nothing for seconds.
 """
 
 import asyncio
@@ -17,20 +19,25 @@
 from whintrail.timeline.core import Timeline
 from whintrail.timeline.events import Detection
 
-MAX_ROWS, FOLLOWER_QUEUE_LINES = 200_000, 256
-WRITE_BATCH_ROWS = 200  # rows written before others have their turn
+MAX_ROWS = 200_000
+FOLLOWER_QUEUE_LINES = 256
+WRITE_BATCH_ROWS = 200  # rows between two yields to the event loop
 
 
 class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    what: str
+    """A client's request."""
+
+    what: str  # "engines", "show" or "events"
     engine: str | None = None
     since_us: int = 0
     until_us: int = 1 << 62
-    level: int | None = None  # of roll-ups; None: raw events
+    level: int | None = None  # of the roll-ups; None for raw events
     follow: bool = False
 
 
 class Follower:
+    """A client that follows the detections, with its queue of lines."""
+
     def __init__(self) -> None:
         self.queue: deque[bytes] = deque()
         self.missed = 0
@@ -44,19 +51,23 @@
         self.lines_ready.set()
 
 
-def detection_row(happening: Detection) -> dict[str, object]:
+def detection_row(detection: Detection) -> dict[str, object]:
+    """A detection as a row of JSON output."""
     return {
-        "at_us": happening.at_us,
-        "engine": happening.engine,
-        "event": happening.verdict.name.lower().replace("_", " "),
-        "begins": happening.begins,
-        "since_us": happening.since_us,
-        "evidence": happening.evidence,
+        "at_us": detection.at_us,
+        "engine": detection.engine,
+        "event": detection.verdict.name.lower().replace("_", " "),
+        "begins": detection.begins,
+        "since_us": detection.since_us,
+        "evidence": detection.evidence,
     }
 
 
 class LiveView(LineServer):
-    """Errors of the constructor: OSError where the socket can't be had."""
+    """Serves the timeline on a Unix socket.
+
+    Errors of the constructor: OSError if the socket can't be opened.
+    """
 
     request_type = Request
     counter_group = "timeline"
@@ -67,7 +78,7 @@
         self.followers: set[Follower] = set()
 
     def publish(self, detections: Iterable[Detection]) -> None:
-        lines = [encode_json(detection_row(happening)) + b"\n" for happening in detections]
+        lines = [encode_json(detection_row(detection)) + b"\n" for detection in detections]
         for follower in self.followers:
             for line in lines:
                 follower.enqueue(line)
@@ -77,7 +88,7 @@
             await self._follow(sock, request)
             return
         batch = bytearray()
-        for number, row in enumerate(self._write_rows(request)):
+        for number, row in enumerate(self._answer_rows(request)):
             if number >= MAX_ROWS:
                 batch += encode_json({"error": f"more than {MAX_ROWS} rows: ask for a shorter time"}) + b"\n"
                 break
@@ -88,15 +99,15 @@
                 await asyncio.sleep(0)
         await self.write(sock, bytes(batch))
 
-    def _write_rows(self, request: Request) -> Iterator[dict[str, Any]]:
+    def _answer_rows(self, request: Request) -> Iterator[dict[str, Any]]:
         timeline, engine = self.timeline, request.engine
         match request.what:
             case "engines":
                 yield from timeline.engines()
             case "events":
-                for happening in list(timeline.detections):
-                    if engine in (None, happening.engine) and happening.at_us >= request.since_us:
-                        yield detection_row(happening)
+                for detection in list(timeline.detections):
+                    if engine in (None, detection.engine) and detection.at_us >= request.since_us:
+                        yield detection_row(detection)
             case "show" if request.level is None:
                 for row in timeline.history.rows(engine, request.since_us, request.until_us):
                     yield {
@@ -117,16 +128,16 @@
             return
         follower, loop = Follower(), asyncio.get_running_loop()
         self.followers.add(follower)
-        gone = loop.create_task(self.wait_closed(sock))
+        closed = loop.create_task(self.wait_closed(sock))
         try:
-            for row in self._write_rows(request):
+            for row in self._answer_rows(request):
                 follower.enqueue(encode_json(row) + b"\n")
-            while not gone.done():
-                waiting = loop.create_task(follower.lines_ready.wait())
-                await asyncio.wait([waiting, gone], return_when=asyncio.FIRST_COMPLETED)
-                waiting.cancel()
+            while not closed.done():
+                wait_lines = loop.create_task(follower.lines_ready.wait())
+                await asyncio.wait([wait_lines, closed], return_when=asyncio.FIRST_COMPLETED)
+                wait_lines.cancel()
                 follower.lines_ready.clear()
-                while follower.queue and not gone.done():
+                while follower.queue and not closed.done():
                     data = b"".join(follower.queue)
                     follower.queue.clear()
                     if follower.missed:
@@ -135,5 +146,5 @@
                     await self.write(sock, data)
         finally:
             self.followers.discard(follower)
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            closed.cancel()
+            await asyncio.gather(closed, return_exceptions=True)
--- a/whintrail/timeline/recorder.py
+++ b/whintrail/timeline/recorder.py
@@ -1,7 +1,7 @@
-"""Keeps the time line of a running gateway: ticks, log lines, the store's work, the live view.
+"""Runs the timeline of a gateway: its ticks, log lines and counters, the store's jobs and the live view.
 
-The owner feeds the time line and calls `tick`; everything else here may wait and runs as background work.
-Whatever fails here is counted and logged; it ends the part that failed, never the gateway.
+The gateway passes events to the timeline and calls `tick`; everything else runs as background jobs. A failure
+here is counted and logged. It stops the part that failed, never the gateway.
 """
 
 import asyncio
@@ -17,19 +17,23 @@
 from whintrail.timeline.detector import Thresholds
 from whintrail.timeline.errors import StoreUnavailable
 
-if TYPE_CHECKING:  # what the file doesn't ask for is not imported: the store's libraries take 4 MB
+if TYPE_CHECKING:  # imported only if configured: the store's libraries take 4 MB of memory
     from whintrail.timeline.live_view import LiveView
     from whintrail.timeline.store import Writer
 
-MEGABYTE = 1 << 20
-Work = Generator[None, None, None]
+BYTES_PER_MB = 1 << 20
+StepwiseJob = Generator[None, None, None]
 
 
 class EventLog(Protocol):
+    """Where log lines go."""
+
     def line(self, kind: str, text: str, **fields: object) -> None: ...
 
 
 class CounterSink(Protocol):
+    """Where counters are kept."""
+
     def add(self, group: str, name: str, count: int = 1) -> None: ...
 
 
@@ -46,6 +50,8 @@
 
 
 class Recorder:
+    """The timeline of one gateway with its store and live view, as the operator's file configures them."""
+
     def __init__(
         self,
         operator_file: OperatorFile,
@@ -59,7 +65,7 @@
     ) -> None:
         self.settings, self.gateway_name, self.now_us = settings, gateway_name, now_us
         self.counters, self.log = counters, log
-        memory = int(settings.memory_mb * MEGABYTE)
+        memory = int(settings.memory_mb * BYTES_PER_MB)
         self.timeline = Timeline(
             memory, int(settings.raw_s * 1e6), thresholds_from_settings(settings.watch), classes, cold_us
         )
@@ -69,10 +75,12 @@
         self.writer: Writer | None = None
         self.live_view: LiveView | None = None
         self.tasks: list[asyncio.Task[None]] = []
-        self.queued_jobs: set[str] = set()  # jobs of which one is in line
+        self.queued_jobs: set[str] = (
+            set()
+        )  # names of the queued and running jobs that must not be queued twice
 
     def apply_settings(self, settings: TimelineSettings) -> None:
-        """A changed operator's file: the thresholds hold at once; sizes and places with the next start."""
+        """Apply a changed operator's file: thresholds at once; sizes and paths need a restart."""
         self.timeline.detector.thresholds = thresholds_from_settings(settings.watch)
 
     def start(self) -> None:
@@ -94,16 +102,16 @@
     def _open_store(self) -> None:
         from whintrail.timeline.store import Writer
 
-        store = self.settings.store
-        assert store is not None
+        store_settings = self.settings.store
+        assert store_settings is not None
         try:
             self.writer = Writer(
-                store.directory,
+                store_settings.directory,
                 self.gateway_name,
                 self.timeline.classes,
-                int(store.segment_mb * MEGABYTE),
-                int(store.keep_mb * MEGABYTE),
-                int(store.keep_s * 1e6),
+                int(store_settings.segment_mb * BYTES_PER_MB),
+                int(store_settings.keep_mb * BYTES_PER_MB),
+                int(store_settings.keep_s * 1e6),
                 self.now_us,
             )
         except StoreUnavailable as error:
@@ -112,64 +120,66 @@
         self._submit("index", Priority.INDEX, self.writer.index_old_segments())
         loop = asyncio.get_running_loop()
         self.tasks.append(loop.create_task(self._run_writes(self.writer)))
-        if store.fsync != "never":
+        if store_settings.fsync != "never":
             self.tasks.append(loop.create_task(self._run_syncs(self.writer)))
 
-    # --- Called by the owner.
+    # --- Called by the gateway.
 
     def tick(self, now: int) -> None:
-        """The judge's turn, a few times a second."""
-        found = self.timeline.tick(now)
-        for happening in found:
-            word = happening.verdict.name.lower()
-            self.counters.add("timeline", f"{word}_{'began' if happening.begins else 'ended'}")
-            figures = {name: float(f"{value:.4g}") for name, value in happening.evidence.items()}
-            text = happening.describe().partition(":")[0]
-            self.log.line(f"timeline-{word}", text, since_us=happening.since_us, **figures)
-        if found and self.writer is not None:
-            self._submit("judged", Priority.WRITE, self.writer.write_detections(found), one=False)
-        if found and self.live_view is not None:
-            self.live_view.publish(found)
-
-    # --- The store's work.
-
-    def _submit(self, name: str, priority: Priority, work: Work, one: bool = True) -> None:
-        if self.runner is None or (one and name in self.queued_jobs):
-            work.close()
+        """Run the detector, then count, log, store and publish its results; called a few times a second."""
+        detections = self.timeline.tick(now)
+        for detection in detections:
+            verdict = detection.verdict.name.lower()
+            self.counters.add("timeline", f"{verdict}_{'began' if detection.begins else 'ended'}")
+            figures = {name: float(f"{value:.4g}") for name, value in detection.evidence.items()}
+            text = detection.describe().partition(":")[0]
+            self.log.line(f"timeline-{verdict}", text, since_us=detection.since_us, **figures)
+        if detections and self.writer is not None:
+            self._submit("judged", Priority.WRITE, self.writer.write_detections(detections), once=False)
+        if detections and self.live_view is not None:
+            self.live_view.publish(detections)
+
+    # --- The store's jobs.
+
+    def _submit(self, name: str, priority: Priority, job: StepwiseJob, once: bool = True) -> None:
+        if self.runner is None or (once and name in self.queued_jobs):
+            job.close()
             return
-        if one:
+        if once:
             self.queued_jobs.add(name)
-            work = self._track_job(name, work)
-        if not self.runner.submit(name, priority, work):
+            job = self._track_job(name, job)
+        if not self.runner.submit(name, priority, job):
             self.queued_jobs.discard(name)
             self.counters.add("timeline", "shed")
 
-    def _track_job(self, name: str, work: Work) -> Work:
+    def _track_job(self, name: str, job: StepwiseJob) -> StepwiseJob:
         try:
-            yield from work
+            yield from job
         finally:
             self.queued_jobs.discard(name)
 
     async def _run_writes(self, writer: "Writer") -> None:
-        store = self.settings.store
-        assert store is not None
-        turn = 0
+        store_settings = self.settings.store
+        assert store_settings is not None
+        cycle = 0
         while writer.off_reason is None:
-            await asyncio.sleep(store.flush_every_s)
+            await asyncio.sleep(store_settings.flush_every_s)
             self._submit("flush", Priority.WRITE, writer.write_events(self.timeline))
-            turn += 1
-            if turn % 5 == 0:
+            cycle += 1
+            if cycle % 5 == 0:
                 self._submit("roll", Priority.ROLL, writer.write_rollups(self.timeline))
-            if turn % 30 == 0:
+            if cycle % 30 == 0:
                 self._submit("clear", Priority.DELETE, writer.delete_expired())
 
     async def _run_syncs(self, writer: "Writer") -> None:
-        """A disk's sync may take seconds: it waits on a thread, and stalls nobody."""
-        store = self.settings.store
-        assert store is not None
-        every = store.flush_every_s if store.fsync == "always" else store.fsync_every_s
+        """Sync in a thread, because a disk may take seconds for it."""
+        store_settings = self.settings.store
+        assert store_settings is not None
+        interval_s = (
+            store_settings.flush_every_s if store_settings.fsync == "always" else store_settings.fsync_every_s
+        )
         while writer.off_reason is None:
-            await asyncio.sleep(every)
+            await asyncio.sleep(interval_s)
             try:
                 await asyncio.to_thread(writer.sync)
             except OSError as error:
@@ -188,13 +198,13 @@
         self.log.line("timeline", f"the store is off: {error}; the gateway goes on without it")
 
     async def close(self) -> None:
-        """What has come so far is written."""
+        """Stop the background tasks and write the events received so far."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         if self.writer is not None and self.writer.off_reason is None:
-            self._submit("roll", Priority.WRITE, self.writer.write_rollups(self.timeline), one=False)
-            self._submit("flush", Priority.WRITE, self.writer.write_events(self.timeline), one=False)
+            self._submit("roll", Priority.WRITE, self.writer.write_rollups(self.timeline), once=False)
+            self._submit("flush", Priority.WRITE, self.writer.write_events(self.timeline), once=False)
         if self.runner is not None:
             await self.runner.close()
         for name, count in self.plan.shed.items():
--- a/whintrail/timeline/rollups.py
+++ b/whintrail/timeline/rollups.py
@@ -1,7 +1,7 @@
-"""Roll-ups of one engine: what happened in each second, ten seconds and minute, with latency sketches.
+"""Roll-ups of one engine: counts, loads and a latency sketch for each second, ten seconds and minute.
 
-The bucket that is open is an object; a sealed one is bytes. A sealed bucket is merged into the open one of
-the next level, so nothing is counted from raw events twice.
+The open bucket is an object, a sealed one is bytes. Sealing a bucket merges it into the open bucket of the
+next level, so each raw event is counted once.
 """
 
 import struct
@@ -10,25 +10,27 @@
 from whintrail.structures.sketch import QuantileSketch
 
 SPANS_US = (1_000_000, 10_000_000, 60_000_000)
-MAX_SEALED_BUCKETS = (180, 360, 720)  # sealed buckets a level, where memory allows: 3 min, 1 h, 12 h
+MAX_SEALED_BUCKETS = (180, 360, 720)  # by level, memory permitting: 3 min, 1 h, 12 h
 BUCKET_HEADER = struct.Struct("<qIIIIIIIfffH")
-BYTES_OBJECT_OVERHEAD = 33  # what CPython adds to each piece of bytes, beside its place in a line
-LIST_SLOT_BYTES = 32
+BYTES_OBJECT_OVERHEAD = 33  # of CPython's bytes objects
+LIST_SLOT_BYTES = 32  # of the list that holds the object
 
 
 @dataclass(slots=True)
 class Bucket:
+    """What happened on one engine in one interval that starts at `at_us`."""
+
     at_us: int = 0
     sends: int = 0
     ok: int = 0
     errors: int = 0
     full: int = 0
-    lost: int = 0  # time-outs, resets, failed connects
-    moved: int = 0  # cancelled or moot
-    passed_over: int = 0  # passed over in the draw
+    lost: int = 0  # timeouts, resets, failed connects
+    moved: int = 0  # cancelled or not started
+    passed_over: int = 0  # by the routing policy
     max_load: float = 0.0
     load_sum: float = 0.0
-    max_held: float = 0.0  # of our own attempts
+    max_held: float = 0.0  # attempts of this gateway at the same time
     load_reports: int = 0
     latency: QuantileSketch = field(default_factory=QuantileSketch)  # of answers, in ms
 
@@ -57,17 +59,36 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Bucket":
-        """Errors: ValueError."""
+        """Decode a sealed bucket. Errors: ValueError."""
         if len(data) < BUCKET_HEADER.size:
-            raise ValueError("a bucket cut short")
-        at, sends, ok, errors, full, lost, moved, passed, most, total, held, loads = (
-            BUCKET_HEADER.unpack_from(data)
+            raise ValueError("truncated bucket")
+        (
+            at_us,
+            sends,
+            ok,
+            errors,
+            full,
+            lost,
+            cancelled,
+            passed_over,
+            max_load,
+            load_sum,
+            max_held,
+            load_reports,
+        ) = BUCKET_HEADER.unpack_from(data)
+        counts = (sends, ok, errors, full, lost, cancelled, passed_over)
+        return cls(
+            at_us,
+            *counts,
+            max_load,
+            load_sum,
+            max_held,
+            load_reports,
+            QuantileSketch.decode(data[BUCKET_HEADER.size :]),
         )
-        counts = (sends, ok, errors, full, lost, moved, passed)
-        return cls(at, *counts, most, total, held, loads, QuantileSketch.decode(data[BUCKET_HEADER.size :]))
 
     def summary(self) -> dict[str, float | int | None]:
-        """For views: counts, loads and latency in ms."""
+        """Counts, loads and latency in ms, for the views."""
         answered = bool(self.latency.count)
         return {
             "at_us": self.at_us,
@@ -87,5 +108,5 @@
 
 
 def sealed_bucket_bytes(sealed: bytes) -> int:
-    """The memory of a sealed bucket, in bytes."""
+    """Memory that a sealed bucket takes, in bytes."""
     return len(sealed) + BYTES_OBJECT_OVERHEAD + LIST_SLOT_BYTES
--- a/whintrail/timeline/store/__init__.py
+++ b/whintrail/timeline/store/__init__.py
@@ -1,4 +1,4 @@
-"""The time line on disk: append-only segments of framed MessagePack, with an index by engine and time."""
+"""The timeline on disk: append-only segments of framed MessagePack, each with an index by engine and time."""
 
 from whintrail.timeline.errors import StoreUnavailable
 from whintrail.timeline.store.reader import Reader, SegmentReport
--- a/whintrail/timeline/store/index.py
+++ b/whintrail/timeline/store/index.py
@@ -1,4 +1,4 @@
-"""What a segment holds, by engine and time: for each frame its engine, first and last time, and place."""
+"""The index of a segment: engine, first and last time, offset, size and type of each frame."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from whintrail.timeline.store.frames import INDEX, Frame, FrameError, decode_frame, encode_frame
 
-INDEX_FRAME_BYTES = 1 << 16  # bytes of an index frame: a large index takes several
+INDEX_FRAME_BYTES = 1 << 16  # a larger index is split into several frames
 
 
 @dataclass(slots=True)
 class FrameLocations:
-    """Frames of one engine, in the order written."""
+    """The frames of one engine, in the order written."""
 
     first_us: array[int] = field(default_factory=lambda: array("q"))
     last_us: array[int] = field(default_factory=lambda: array("q"))
@@ -30,7 +30,7 @@
 
 
 class Index:
-    """Of one segment. `covers`: the bytes of the segment that it speaks of."""
+    """The index of one segment. `covered_bytes` is the length of the segment that it describes."""
 
     def __init__(self) -> None:
         self.engines: defaultdict[str, FrameLocations] = defaultdict(FrameLocations)
@@ -39,8 +39,8 @@
         self.frame_count = 0
 
     def add(self, engine: str, type_: int, first_us: int, last_us: int, offset: int, size: int) -> None:
-        places = self.engines[engine]
-        for column, value in zip(places.columns(), (first_us, last_us, offset, size, type_), strict=True):
+        locations = self.engines[engine]
+        for column, value in zip(locations.columns(), (first_us, last_us, offset, size, type_), strict=True):
             column.append(value)
         self.first_us, self.last_us = min(self.first_us, first_us), max(self.last_us, last_us)
         self.covered_bytes = max(self.covered_bytes, offset + size)
@@ -49,17 +49,19 @@
     def find_frames(
         self, engine: str | None, types: frozenset[int], since: int, until: int
     ) -> Iterator[tuple[int, int]]:
-        """Offset and size of the frames that may hold what is asked for, in the order written."""
+        """Offset and size of the frames that may hold matching events, in the order written."""
         names = [engine] if engine is not None else list(self.engines)
         found: list[tuple[int, int]] = []
         for name in names:
-            places = self.engines.get(name)
-            if places is None:
+            locations = self.engines.get(name)
+            if locations is None:
                 continue
             found += [
-                (places.offsets[i], places.sizes[i])
-                for i in range(len(places.offsets))
-                if places.types[i] in types and places.last_us[i] >= since and places.first_us[i] <= until
+                (locations.offsets[i], locations.sizes[i])
+                for i in range(len(locations.offsets))
+                if locations.types[i] in types
+                and locations.last_us[i] >= since
+                and locations.first_us[i] <= until
             ]
         return iter(found if engine is not None else sorted(found))
 
@@ -67,46 +69,48 @@
         return b"".join(self.encode_frames())
 
     def encode_frames(self) -> Iterator[bytes]:
-        """Frames of their own, each complete in itself."""
-        part, size = dict[str, list[bytes]](), 0
-        for name, places in self.engines.items():
-            part[name] = [column.tobytes() for column in places.columns()]
-            size += sum(map(len, part[name])) + len(name)
-            if size > INDEX_FRAME_BYTES:
-                yield self._encode_frame(part)
-                part, size = {}, 0
-        yield self._encode_frame(part)
-
-    def _encode_frame(self, part: dict[str, list[bytes]]) -> bytes:
+        """The index as frames, each of which can be decoded on its own."""
+        columns_by_engine, frame_bytes = dict[str, list[bytes]](), 0
+        for name, locations in self.engines.items():
+            columns_by_engine[name] = [column.tobytes() for column in locations.columns()]
+            frame_bytes += sum(map(len, columns_by_engine[name])) + len(name)
+            if frame_bytes > INDEX_FRAME_BYTES:
+                yield self._encode_frame(columns_by_engine)
+                columns_by_engine, frame_bytes = {}, 0
+        yield self._encode_frame(columns_by_engine)
+
+    def _encode_frame(self, columns_by_engine: dict[str, list[bytes]]) -> bytes:
         return encode_frame(
             INDEX,
-            msgspec.msgpack.encode([self.covered_bytes, self.first_us, self.last_us, self.frame_count, part]),
+            msgspec.msgpack.encode(
+                [self.covered_bytes, self.first_us, self.last_us, self.frame_count, columns_by_engine]
+            ),
         )
 
     @classmethod
     def decode(cls, data: bytes, covered_bytes: int) -> Index:
-        """Errors: FrameError where it is damaged, or speaks of another length of the segment."""
-        index, at, frames = cls(), 0, 0
-        while at < len(data):
-            frame = decode_frame(data, at)
-            at += frame.size
+        """Errors: FrameError if it is damaged or belongs to a segment of another length."""
+        index, offset, frame_count = cls(), 0, 0
+        while offset < len(data):
+            frame = decode_frame(data, offset)
+            offset += frame.size
             index._merge_frame(frame, covered_bytes)
-        frames = sum(len(places.offsets) for places in index.engines.values())
-        if index.covered_bytes != covered_bytes or frames != index.frame_count:
-            raise FrameError("an index of another segment, or not whole")
+        frame_count = sum(len(locations.offsets) for locations in index.engines.values())
+        if index.covered_bytes != covered_bytes or frame_count != index.frame_count:
+            raise FrameError("index is incomplete or of another segment")
         return index
 
     def _merge_frame(self, frame: Frame, covered_bytes: int) -> None:
         if frame.type != INDEX:
-            raise FrameError("no index")
+            raise FrameError("not an index frame")
         try:
-            found: Any = msgspec.msgpack.decode(frame.payload)
-            self.covered_bytes, self.first_us, self.last_us, self.frame_count, part = found
-            for name, columns in part.items():
-                places = self.engines[name]
-                for column, data in zip(places.columns(), columns, strict=True):
+            fields: Any = msgspec.msgpack.decode(frame.payload)
+            self.covered_bytes, self.first_us, self.last_us, self.frame_count, columns_by_engine = fields
+            for name, columns in columns_by_engine.items():
+                locations = self.engines[name]
+                for column, data in zip(locations.columns(), columns, strict=True):
                     column.frombytes(data)
-                if len({len(column) for column in places.columns()}) != 1:
-                    raise FrameError("columns of another length")
+                if len({len(column) for column in locations.columns()}) != 1:
+                    raise FrameError("columns have different lengths")
         except (msgspec.DecodeError, TypeError, ValueError, AttributeError) as error:
             raise FrameError(str(error)) from error
--- a/whintrail/timeline/store/reader.py
+++ b/whintrail/timeline/store/reader.py
@@ -1,4 +1,4 @@
-"""Reads a directory of segments, also one that is being written, rotated and cleared at the same time."""
+"""Reads a directory of segments, also while a writer appends to it, rotates it and deletes from it."""
 
 import os
 from collections.abc import Iterator
@@ -11,23 +11,21 @@
 from whintrail.timeline.store.frames import Damage, Frame, FrameError
 from whintrail.timeline.store.index import Index
 
-EVENT_TYPES, ROLLUP_TYPES, DETECTION_TYPES = (
-    frozenset({frames.EVENTS}),
-    frozenset({frames.ROLLUP}),
-    frozenset({frames.DETECTION}),
-)
+EVENT_TYPES = frozenset({frames.EVENTS})
+ROLLUP_TYPES = frozenset({frames.ROLLUP})
+DETECTION_TYPES = frozenset({frames.DETECTION})
 
 
 @dataclass(slots=True)
 class SegmentReport:
-    """What a look at every byte of a segment found."""
+    """Result of the verification of a segment."""
 
     name: str
     bytes: int = 0
     frames: int = 0
     events: int = 0
     engines: int = 0
-    damaged: int = 0  # places
+    damaged: int = 0  # number of damaged places
     lost_bytes: int = 0
     torn: bool = False
     index: str = "none"
@@ -36,7 +34,7 @@
 
 @dataclass(slots=True)
 class Segment:
-    """An open segment; it stays readable when its name is gone."""
+    """An open segment; it stays readable after its file is deleted."""
 
     path: Path
     descriptor: int
@@ -45,7 +43,7 @@
     gateway: str = ""
 
     def read_frame(self, offset: int, size: int) -> Frame | None:
-        """None where the bytes have been damaged since they were indexed."""
+        """The frame there; None if the bytes were damaged after they were indexed."""
         try:
             return frames.decode_frame(os.pread(self.descriptor, size, offset))
         except FrameError:
@@ -53,33 +51,32 @@
 
 
 def scan_segment(data: bytes) -> tuple[Index, SegmentReport, tuple[str, tuple[str, ...]]]:
-    """The index of a segment from its bytes. Errors: FrameError where its header can't be used."""
+    """Index, report, gateway name and classes of a segment. Errors: FrameError for an unusable header."""
     index, report = Index(), SegmentReport("", len(data))
-    about: tuple[str, tuple[str, ...]] | None = None
-    for found in frames.scan_frames(data):
-        if isinstance(found, Damage):
+    header: tuple[str, tuple[str, ...]] | None = None
+    for item in frames.scan_frames(data):
+        if isinstance(item, Damage):
             report.damaged += 1
-            report.lost_bytes += found.end - found.offset
-            report.torn = found.torn
+            report.lost_bytes += item.end - item.offset
+            report.torn = item.torn
             continue
         report.frames += 1
-        if (
-            found.offset == 0
-        ):  # a damaged header costs the classes' names only; another first frame is foreign
-            name, _, classes = frames.decode_header(found)
-            about = name, classes
+        # A damaged header costs only the names of the classes; another frame there means a foreign segment.
+        if item.offset == 0:
+            name, _, classes = frames.decode_header(item)
+            header = name, classes
         else:
-            index_frame(index, found, report)
+            index_frame(index, item, report)
     report.engines, index.covered_bytes = len(index.engines), len(data)
-    return index, report, about or ("", ())
+    return index, report, header or ("", ())
 
 
 def index_frame(index: Index, frame: Frame, report: SegmentReport | None = None) -> None:
-    """Enter a frame; one of a kind that this version doesn't know is passed over."""
+    """Add a frame to the index; types that this version doesn't know are ignored."""
     try:
         if frame.type == frames.EVENTS:
-            engine, first, last, count = frames.decode_events_span(frame)
-            index.add(engine, frame.type, first, last, frame.offset, frame.size)
+            engine, first_us, last_us, count = frames.decode_events_span(frame)
+            index.add(engine, frame.type, first_us, last_us, frame.offset, frame.size)
             if report is not None:
                 report.events += count
         elif frame.type == frames.ROLLUP:
@@ -87,9 +84,9 @@
             at_us = Bucket.from_bytes(sealed).at_us
             index.add(engine, frame.type, at_us, at_us, frame.offset, frame.size)
         elif frame.type == frames.DETECTION:
-            happening = frames.decode_detection(frame)
+            detection = frames.decode_detection(frame)
             index.add(
-                happening.engine, frame.type, happening.at_us, happening.at_us, frame.offset, frame.size
+                detection.engine, frame.type, detection.at_us, detection.at_us, frame.offset, frame.size
             )
     except (FrameError, ValueError):
         if report is not None:
@@ -99,11 +96,11 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Everything in a directory, oldest segment first. Use as a context, or `close` it."""
+    """All segments of a directory, oldest first. Use it as a context manager or `close` it."""
 
     directory: Path
     segments: list[Segment] = field(default_factory=list)
-    skipped: list[str] = field(default_factory=list)  # segments that can't be used, and why
+    skipped: list[str] = field(default_factory=list)  # unusable segments, each with the reason
 
     @classmethod
     def open(cls, directory: str | Path, since: int = 0, until: int = 1 << 62) -> "Reader":
@@ -113,7 +110,7 @@
             try:
                 descriptor = os.open(path, os.O_RDONLY)
             except FileNotFoundError:
-                continue  # cleared away since it was listed
+                continue  # deleted since the directory was listed
             try:
                 segment = cls._open_segment(path, descriptor)
             except FrameError as error:
@@ -128,9 +125,9 @@
         size = os.fstat(descriptor).st_size
         try:
             index = Index.decode(path.with_suffix(".idx").read_bytes(), size)
-            first = frames.decode_frame(os.pread(descriptor, 1 << 16, 0))
-            gateway, _, classes = frames.decode_header(first)
-        except (OSError, FrameError):  # no index yet, or a damaged one: the segment itself tells
+            header = frames.decode_frame(os.pread(descriptor, 1 << 16, 0))
+            gateway, _, classes = frames.decode_header(header)
+        except (OSError, FrameError):  # no usable index: build it from the segment
             index, _, (gateway, classes) = scan_segment(os.pread(descriptor, size, 0))
         return Segment(path, descriptor, index, classes, gateway)
 
@@ -145,19 +142,19 @@
         for segment in self.segments:
             if segment.index.last_us < since or segment.index.first_us > until:
                 continue
-            for at, size in segment.index.find_frames(engine, types, since, until):
-                if (frame := segment.read_frame(at, size)) is not None:
+            for offset, size in segment.index.find_frames(engine, types, since, until):
+                if (frame := segment.read_frame(offset, size)) is not None:
                     yield frame
 
     def rows(self, engine: str | None = None, since: int = 0, until: int = 1 << 62) -> Iterator[Row]:
-        """Raw events, by the index; times in Unix microseconds."""
+        """Raw events, found by the index; times are Unix microseconds."""
         for frame in self._frames(engine, EVENT_TYPES, since, until):
             for row in frames.decode_events(frame):
                 if since <= row.at_us <= until:
                     yield row
 
     def scan_rows(self, engine: str, since: int = 0, until: int = 1 << 62) -> Iterator[Row]:
-        """The same without the index: what it is measured against."""
+        """The same without the index, for tests and benchmarks to compare with."""
         for segment in self.segments:
             for frame in frames.scan_frames(
                 os.pread(segment.descriptor, os.fstat(segment.descriptor).st_size, 0)
@@ -175,12 +172,12 @@
 
     def rollups(self, engine: str, level: int, since: int = 0, until: int = 1 << 62) -> Iterator[Bucket]:
         for frame in self._frames(engine, ROLLUP_TYPES, since, until):
-            _, found, sealed = frames.decode_rollup(frame)
-            if found == level:
+            _, frame_level, sealed = frames.decode_rollup(frame)
+            if frame_level == level:
                 yield Bucket.from_bytes(sealed)
 
     def verify(self) -> Iterator[SegmentReport]:
-        """Every byte of every segment looked at, and each index held against it."""
+        """Check every byte of each segment, and its index against the segment."""
         for path in sorted(path for path in self.directory.iterdir() if path.suffix == ".seg"):
             try:
                 data = path.read_bytes()
@@ -193,8 +190,8 @@
                 continue
             report.name = path.name
             try:
-                held = Index.decode(path.with_suffix(".idx").read_bytes(), len(data))
-                report.index = "sound" if held.encode() == index.encode() else "differs"
+                stored_index = Index.decode(path.with_suffix(".idx").read_bytes(), len(data))
+                report.index = "sound" if stored_index.encode() == index.encode() else "differs"
             except FileNotFoundError:
                 report.index = "none"
             except FrameError as error:
--- a/whintrail/timeline/store/writer.py
+++ b/whintrail/timeline/store/writer.py
@@ -1,7 +1,7 @@
-"""Writes segments: appends frames, rotates, indexes and deletes, each as steps of background work.
+"""Writes segments: appends frames, rotates, indexes and deletes, as background jobs in small steps.
 
-A full or read-only disk ends the store (StoreOff), never the gateway. A segment is never appended to after a
-start: what a kill left torn stays as it is, and the next segment begins.
+A full or read-only disk switches off the store (StoreUnavailable), never the gateway. Each start begins a new
+segment: one that a kill left with a torn frame is never appended to.
 """
 
 import fcntl
@@ -18,12 +18,10 @@
 from whintrail.timeline.store.index import Index
 from whintrail.timeline.store.reader import scan_segment
 
-Work = Generator[None, None, None]
-READ_BATCH_ROWS, MAX_GROUPED_ROWS = (
-    256,
-    16_384,
-)  # raw events read in one step, and grouped by engine into frames
-STORED_LEVELS = (1, 2)  # roll-ups that are kept on disk: 10 s and 1 min
+StepwiseJob = Generator[None, None, None]
+READ_BATCH_ROWS = 256  # raw events read in one step
+MAX_GROUPED_ROWS = 16_384  # raw events that are grouped by engine into frames at once
+STORED_LEVELS = (1, 2)  # levels of roll-ups that are stored: 10 s and 1 min
 
 
 def segment_number(path: Path) -> int:
@@ -31,7 +29,10 @@
 
 
 class Writer:
-    """`keep_bytes`, `keep_us`: retention; the segment that is written is never deleted."""
+    """Writes one gateway's segments to a directory, which it locks.
+
+    `keep_bytes` and `keep_us` limit size and age of all segments; the current one is never deleted.
+    """
 
     def __init__(
         self,
@@ -45,13 +46,12 @@
     ) -> None:
         self.directory, self.gateway_name, self.classes = Path(directory), gateway_name, classes
         self.segment_bytes, self.keep_bytes, self.keep_us, self.now = segment_bytes, keep_bytes, keep_us, now
-        self.next_row = 0  # the next raw event to be written
-        self.missed_events = 0  # raw events that were gone before they were written
+        self.next_row = 0  # number of the next raw event to write
+        self.missed_events = 0  # raw events dropped from memory before they were written
         self.events_written = self.bytes_written = self.deleted_segments = 0
-        self.last_stored_buckets: dict[
-            tuple[int, int], int
-        ] = {}  # the last bucket on disk, by slot and level
-        self.off_reason: str | None = None
+        # Start of the last stored bucket, by slot and level.
+        self.last_stored_buckets: dict[tuple[int, int], int] = {}
+        self.off_reason: str | None = None  # why the store is switched off
         self.descriptor = self.lock_descriptor = -1
         try:
             self.directory.mkdir(parents=True, exist_ok=True)
@@ -79,19 +79,19 @@
         self._append(frames.encode_header(self.gateway_name, self.now(), self.classes))
 
     def _append(self, data: bytes) -> int:
-        """Where the frame begins. Errors: StoreOff; half a frame is taken back."""
-        at = self.segment_size
+        """Append a frame and return its offset. Errors: StoreUnavailable, after removing a partial frame."""
+        offset = self.segment_size
         try:
-            done = 0
-            while done < len(data):
-                done += os.write(self.descriptor, data[done:])
+            written = 0
+            while written < len(data):
+                written += os.write(self.descriptor, data[written:])
         except OSError as error:
-            with suppress(OSError):  # else a torn tail, which every reader finds
-                os.ftruncate(self.descriptor, at)
+            with suppress(OSError):  # if it fails, readers find and skip the torn frame
+                os.ftruncate(self.descriptor, offset)
             raise self._disable(str(error)) from error
         self.segment_size += len(data)
         self.bytes_written += len(data)
-        return at
+        return offset
 
     def _disable(self, reason: str) -> StoreUnavailable:
         self.off_reason = reason
@@ -105,79 +105,81 @@
         self.descriptor = self.lock_descriptor = -1
 
     def sync(self) -> None:
-        """Blocks: for a thread. Errors: OSError."""
+        """Sync the current segment to disk. Blocking: call it in a thread. Errors: OSError."""
         if self.descriptor >= 0:
-            copy = os.dup(self.descriptor)  # it may be rotated meanwhile
+            copy = os.dup(self.descriptor)  # the segment may be rotated meanwhile
             try:
                 os.fsync(copy)
             finally:
                 os.close(copy)
 
-    # --- Work, in steps.
+    # --- Jobs, in steps.
 
-    def write_events(self, timeline: Timeline) -> Work:
-        """Raw events since the last flush, grouped by engine."""
+    def write_events(self, timeline: Timeline) -> StepwiseJob:
+        """Write the raw events since the last call, grouped by engine."""
         columns, names = timeline.history.columns, timeline.history.slot_names
         end = columns.next_number
         while self.next_row < end and self.off_reason is None:
             by_slot: dict[int, list[tuple[int, int, int, int, float, float]]] = {}
-            until = min(end, self.next_row + MAX_GROUPED_ROWS)
-            while self.next_row < until:
-                rows, self.next_row, gone = columns.read_from(
-                    self.next_row, min(READ_BATCH_ROWS, until - self.next_row)
+            batch_end = min(end, self.next_row + MAX_GROUPED_ROWS)
+            while self.next_row < batch_end:
+                rows, self.next_row, dropped = columns.read_from(
+                    self.next_row, min(READ_BATCH_ROWS, batch_end - self.next_row)
                 )
-                self.missed_events += gone
+                self.missed_events += dropped
                 for row in rows:
                     by_slot.setdefault(row[1], []).append(row)
                 yield
-            for slot, found in by_slot.items():
+            for slot, slot_rows in by_slot.items():
                 engine = names.get(slot, f"#{slot}")
-                while found:
-                    part = [row for row in found if row[0] - found[0][0] < frames.MAX_FRAME_SPAN_US]
-                    self._write_event_frame(engine, part)
-                    found = found[len(part) :]
+                while slot_rows:
+                    frame_rows = [
+                        row for row in slot_rows if row[0] - slot_rows[0][0] < frames.MAX_FRAME_SPAN_US
+                    ]
+                    self._write_event_frame(engine, frame_rows)
+                    slot_rows = slot_rows[len(frame_rows) :]
                 yield
             if self.segment_size >= self.segment_bytes:
                 yield from self.rotate()
 
     def _write_event_frame(self, engine: str, rows: list[tuple[int, int, int, int, float, float]]) -> None:
         data = frames.encode_events(engine, rows)
-        at = self._append(data)
-        self.segment_index.add(engine, frames.EVENTS, rows[0][0], rows[-1][0], at, len(data))
+        offset = self._append(data)
+        self.segment_index.add(engine, frames.EVENTS, rows[0][0], rows[-1][0], offset, len(data))
         self.events_written += len(rows)
 
-    def write_detections(self, detections: Iterable[Detection]) -> Work:
-        for happening in detections:
+    def write_detections(self, detections: Iterable[Detection]) -> StepwiseJob:
+        for detection in detections:
             if self.off_reason is not None:
                 return
-            data = frames.encode_detection(happening)
-            at = self._append(data)
+            data = frames.encode_detection(detection)
+            offset = self._append(data)
             self.segment_index.add(
-                happening.engine, frames.DETECTION, happening.at_us, happening.at_us, at, len(data)
+                detection.engine, frames.DETECTION, detection.at_us, detection.at_us, offset, len(data)
             )
             yield
 
-    def write_rollups(self, timeline: Timeline) -> Work:
-        """Buckets that were sealed since the last time."""
+    def write_rollups(self, timeline: Timeline) -> StepwiseJob:
+        """Write the buckets that were sealed since the last call."""
         slots = set()
         for track in list(timeline.history.tracks.values()):
             slots.add(track.slot)
             for level in STORED_LEVELS:
-                last = self.last_stored_buckets.get((track.slot, level), -1)
+                last_stored_us = self.last_stored_buckets.get((track.slot, level), -1)
                 for sealed in list(track.sealed_buckets[level]):
                     at_us = int.from_bytes(sealed[:8], "little")
-                    if at_us <= last or self.off_reason is not None:
+                    if at_us <= last_stored_us or self.off_reason is not None:
                         continue
                     data = frames.encode_rollup(track.engine, level, sealed)
-                    at = self._append(data)
-                    self.segment_index.add(track.engine, frames.ROLLUP, at_us, at_us, at, len(data))
+                    offset = self._append(data)
+                    self.segment_index.add(track.engine, frames.ROLLUP, at_us, at_us, offset, len(data))
                     self.last_stored_buckets[track.slot, level] = at_us
             yield
         for key in [key for key in self.last_stored_buckets if key[0] not in slots]:
             del self.last_stored_buckets[key]
 
-    def rotate(self) -> Work:
-        """Close the segment, write its index, begin the next."""
+    def rotate(self) -> StepwiseJob:
+        """Begin a new segment, close the old one and write its index."""
         path, index, descriptor = self.segment_path, self.segment_index, self.descriptor
         index.covered_bytes = self.segment_size
         try:
@@ -189,20 +191,20 @@
         yield from self._write_index(path, index)
         yield from self.delete_expired()
 
-    def _write_index(self, path: Path, index: Index) -> Work:
-        """Whole or not at all: a reader never sees half an index."""
+    def _write_index(self, path: Path, index: Index) -> StepwiseJob:
+        """Write an index atomically, so that no reader sees a partial one."""
         temporary = path.with_suffix(".tmp")
         try:
             with open(temporary, "wb") as file:
-                for part in index.encode_frames():
-                    file.write(part)
+                for frame in index.encode_frames():
+                    file.write(frame)
                     yield
             temporary.replace(path.with_suffix(".idx"))
         except OSError as error:
             raise self._disable(str(error)) from error
 
-    def index_old_segments(self) -> Work:
-        """Segments without an index, as after a kill; the one in hand is not among them."""
+    def index_old_segments(self) -> StepwiseJob:
+        """Write the missing indexes of older segments, as after a kill."""
         for path in sorted(self.directory.glob("*.seg")):
             if path == self.segment_path or path.with_suffix(".idx").exists() or self.off_reason is not None:
                 continue
@@ -216,19 +218,19 @@
             index.covered_bytes = len(data)
             yield from self._write_index(path, index)
 
-    def delete_expired(self) -> Work:
-        """Delete what is over the stated bytes or age, the oldest first."""
-        found = []
+    def delete_expired(self) -> StepwiseJob:
+        """Delete the oldest segments while the total size or their age exceeds its limit."""
+        segments = []
         for path in sorted(self.directory.glob("*.seg")):
             try:
                 stat = path.stat()
             except FileNotFoundError:
                 continue
-            found.append((path, stat.st_size, int(stat.st_mtime * 1_000_000)))
+            segments.append((path, stat.st_size, int(stat.st_mtime * 1_000_000)))
         yield
-        total = sum(size for _, size, _ in found)
-        for path, size, written_us in found:
-            too_old = self.now() - written_us > self.keep_us
+        total = sum(size for _, size, _ in segments)
+        for path, size, modified_us in segments:
+            too_old = self.now() - modified_us > self.keep_us
             if path == self.segment_path or not (total > self.keep_bytes or too_old):
                 continue
             try:
