--- a/benchmarks/injected_faults.py
+++ b/benchmarks/injected_faults.py
@@ -1,8 +1,8 @@
-"""Injected faults on sockets against what the time line says: python -m benchmarks.injected_faults [--seed N]
+"""Injected faults compared with the timeline's detections: python -m benchmarks.injected_faults [--seed N]
 
-Starts a gateway with the time line and its store, a fleet of stand-in engines and an open-loop load, injects
-one fault after another, and prints for each when it was flagged and how far the interval is off. A second
-part raises the load fourfold with nothing wrong; what is called then is false.
+Starts a gateway with the timeline and its store, a fleet of stand-in engines and an open-loop load, injects
+one fault after another, and prints for each when it was detected and the error of the detected interval. A
+second part raises the load fourfold without a fault, so that every detection in it is false.
 """
 
 import argparse
@@ -28,7 +28,7 @@
 @dataclass(slots=True)
 class ScenarioResult:
     faults: list[Fault]
-    happenings: list[Detection]
+    detections: list[Detection]
     ends: dict[str, int]
     asked: int
 
@@ -42,15 +42,18 @@
     seed: int,
     surge: tuple[float, float, float] | None = None,
 ) -> ScenarioResult:
-    """`story`: begin, length, engine, what, how much; `surge`: begin, length, times the rate."""
+    """Run a gateway and a fleet with injected faults.
+
+    `scenario`: begin, length, engine, kind of fault, its value; `surge`: begin, length, factor of the rate.
+    """
     fleet = Fleet(engines, cores=16, seed=seed)
     with FreePort() as port:
         config = fleet.config(f"127.0.0.1:{port}")
     (folder / "config.json").write_text(json.dumps(config))
-    operator = {
+    operator_file = {
         "timeline": {"memory_mb": 16, "store": {"directory": str(folder / "store"), "flush_every_s": 0.5}}
     }
-    (folder / "whintrail.jsonnet").write_text(json.dumps(operator))
+    (folder / "whintrail.jsonnet").write_text(json.dumps(operator_file))
     environment = {
         **os.environ,
         "RELAY_CONFIG": str(folder / "config.json"),
@@ -66,27 +69,27 @@
         tasks = [asyncio.create_task(load.run(seconds))]
         for begin, length, index, what, value in scenario:
             tasks.append(asyncio.create_task(inject(fleet, begin, length, index, what, value)))
-        more = None
+        surge_load = None
         if surge is not None:
-            more = Load(port, rate * (surge[2] - 1), QUERY_MIX, seed + 1)
-            tasks.append(asyncio.create_task(run_later(surge[0], more.run(surge[1]))))
+            surge_load = Load(port, rate * (surge[2] - 1), QUERY_MIX, seed + 1)
+            tasks.append(asyncio.create_task(run_later(surge[0], surge_load.run(surge[1]))))
         await asyncio.gather(*tasks)
         load.close()
-        if more is not None:
-            more.close()
-            load.ends.update(more.ends)
-            load.asked += more.asked
+        if surge_load is not None:
+            surge_load.close()
+            load.ends.update(surge_load.ends)
+            load.asked += surge_load.asked
     finally:
         process.send_signal(signal.SIGTERM)
         await process.wait()
         await fleet.close()
     with Reader.open(folder / "store") as reader:
-        found = list(reader.detections())
-    return ScenarioResult(fleet.log, found, dict(load.ends), load.asked)
+        detections = list(reader.detections())
+    return ScenarioResult(fleet.log, detections, dict(load.ends), load.asked)
 
 
 class FreePort:
-    """A port that is free."""
+    """Finds a free port."""
 
     def __enter__(self) -> int:
         import socket
@@ -104,9 +107,9 @@
     await work  # type: ignore[misc]
 
 
-async def inject(fleet: Fleet, begin: float, length: float, index: int, what: str, value: float) -> None:
+async def inject(fleet: Fleet, begin: float, length: float, index: int, kind: str, value: float) -> None:
     await asyncio.sleep(begin)
-    fault = fleet.begin(index, what, value)
+    fault = fleet.begin(index, kind, value)
     await asyncio.sleep(length)
     fleet.end(fault)
 
@@ -114,38 +117,38 @@
 @dataclass(slots=True)
 class FaultMatch:
     fault: Fault
-    flagged_s: float | None  # after the injection
-    begin_error_s: float | None  # the interval's begin against the injected one
+    flagged_s: float | None  # from injection to detection
+    begin_error_s: float | None  # detected minus injected begin of the interval
     end_error_s: float | None
 
 
 def match_faults(result: ScenarioResult) -> tuple[list[FaultMatch], list[Detection]]:
-    """Each fault with what was said of it, and what was said that no fault explains."""
-    left, found = list(result.happenings), []
+    """Match the faults with their detections; also returns the detections that no fault explains."""
+    remaining, matches = list(result.detections), []
     for fault in result.faults:
         begin = next(
             (
-                h
-                for h in left
-                if h.engine == fault.engine
-                and h.begins
-                and h.verdict is VERDICT_OF_FAULT[fault.what]
-                and fault.begin - 1 <= h.at_us / 1e6 <= fault.end + 1
+                detection
+                for detection in remaining
+                if detection.engine == fault.engine
+                and detection.begins
+                and detection.verdict is VERDICT_OF_FAULT[fault.what]
+                and fault.begin - 1 <= detection.at_us / 1e6 <= fault.end + 1
             ),
             None,
         )
         end = begin and next(
             (
-                h
-                for h in left
-                if h.engine == fault.engine
-                and not h.begins
-                and h.verdict is begin.verdict
-                and h.at_us > begin.at_us
+                detection
+                for detection in remaining
+                if detection.engine == fault.engine
+                and not detection.begins
+                and detection.verdict is begin.verdict
+                and detection.at_us > begin.at_us
             ),
             None,
         )
-        found.append(
+        matches.append(
             FaultMatch(
                 fault,
                 begin.at_us / 1e6 - fault.begin if begin else None,
@@ -153,43 +156,53 @@
                 end.since_us / 1e6 - fault.end if end else None,
             )
         )
-        # Whatever else is said of an engine while it has a fault is not false.
-        left = [
-            h
-            for h in left
-            if not (h.engine == fault.engine and fault.begin - 1 <= h.at_us / 1e6 <= fault.end + 12)
+        # Other detections on an engine with a fault are not false.
+        remaining = [
+            detection
+            for detection in remaining
+            if not (
+                detection.engine == fault.engine
+                and fault.begin - 1 <= detection.at_us / 1e6 <= fault.end + 12
+            )
         ]
-    return found, [h for h in left if h.begins]
+    return matches, [detection for detection in remaining if detection.begins]
 
 
 def format_seconds(value: float | None) -> str:
     return "   -  " if value is None else f"{value:6.2f}"
 
 
-async def run_benchmark(seed: int, keep: str | None) -> None:
+async def run_benchmark(seed: int, keep_directory: str | None) -> None:
     with tempfile.TemporaryDirectory() as name:
-        story = [
+        scenario = [
             (12.0, 4.0, 0, "stalled", 1.0),
             (26.0, 10.0, 1, "slower", 5.0),
             (46.0, 8.0, 2, "failing", 0.7),
             (62.0, 8.0, 3, "stalled", 1.0),
         ]
-        result = await run_scenario(Path(name), 8, 150.0, 80.0, story, seed)
-        if keep is not None:
-            shutil.copytree(Path(name, "store"), keep)
-        matches, false = match_faults(result)
+        result = await run_scenario(Path(name), 8, 150.0, 80.0, scenario, seed)
+        if keep_directory is not None:
+            shutil.copytree(Path(name, "store"), keep_directory)
+        matches, false_detections = match_faults(result)
         print(f"seed {seed}: {result.asked} asked, {result.ends}")
         print("  fault    flagged after s   begin off by s   end off by s")
-        for m in matches:
-            offs = f"{format_seconds(m.flagged_s)}          {format_seconds(m.begin_error_s)}          {format_seconds(m.end_error_s)}"
-            print(f"  {m.fault.what:8} {offs}")
-        print(f"  false events: {len(false)} {[h.describe() for h in false]}")
+        for match in matches:
+            errors = (
+                f"{format_seconds(match.flagged_s)}          {format_seconds(match.begin_error_s)}"
+                f"          {format_seconds(match.end_error_s)}"
+            )
+            print(f"  {match.fault.what:8} {errors}")
+        print(
+            f"  false events: {len(false_detections)}"
+            f" {[detection.describe() for detection in false_detections]}"
+        )
     with tempfile.TemporaryDirectory() as name:
         result = await run_scenario(Path(name), 8, 100.0, 40.0, [], seed, (15.0, 15.0, 4.0))
-        _, false = match_faults(result)
+        _, false_detections = match_faults(result)
         print(
             f"  fourfold surge, nothing wrong: {result.asked} asked, {result.ends};"
-            f" events: {len(false)} {[h.describe() for h in false]}"
+            f" events: {len(false_detections)}"
+            f" {[detection.describe() for detection in false_detections]}"
         )
 
 
@@ -197,8 +210,8 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--keep", help="Copy the store to this directory, to be looked at.")
-    given = parser.parse_args()
-    asyncio.run(run_benchmark(given.seed, given.keep))
+    arguments = parser.parse_args()
+    asyncio.run(run_benchmark(arguments.seed, arguments.keep))
 
 
 if __name__ == "__main__":
