--- a/benchmarks/injected_faults.py
+++ b/benchmarks/injected_faults.py
@@ -30,7 +30,7 @@
     faults: list[Fault]
     detections: list[Detection]
     ends: dict[str, int]
-    asked: int
+    queries: int
 
 
 async def run_scenario(
@@ -184,7 +184,7 @@
         if keep_directory is not None:
             shutil.copytree(Path(name, "store"), keep_directory)
         matches, false_detections = match_faults(result)
-        print(f"seed {seed}: {result.asked} asked, {result.ends}")
+        print(f"seed {seed}: {result.queries} queries, {result.ends}")
         print("  fault    flagged after s   begin off by s   end off by s")
         for match in matches:
             errors = (
@@ -200,7 +200,7 @@
         result = await run_scenario(Path(name), 8, 100.0, 40.0, [], seed, (15.0, 15.0, 4.0))
         _, false_detections = match_faults(result)
         print(
-            f"  fourfold surge, nothing wrong: {result.asked} asked, {result.ends};"
+            f"  fourfold surge, nothing wrong: {result.queries} queries, {result.ends};"
             f" events: {len(false_detections)}"
             f" {[detection.describe() for detection in false_detections]}"
         )
--- a/whintrail/timeline/live_view.py
+++ b/whintrail/timeline/live_view.py
@@ -2,9 +2,9 @@
 
 It is off unless the operator's file names its path.
 
-A request is {"what": "engines" | "show" | "events", ...}. Sizes are checked before memory is allocated. A
-client that doesn't read blocks no other: a follower's queue is bounded, it is told how many lines it missed,
-and its connection is closed when it reads nothing for seconds.
+A request is {"what": "engines" | "show" | "events", ...} with the fields of `Request`. Sizes are checked
+before memory is allocated. A client that doesn't read blocks no other: a follower's queue is bounded, it is
+told how many lines it missed, and its connection is closed when it reads nothing for seconds.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A client's request."""
 
-    what: str  # "engines", "show" or "events"
+    what: str
     engine: str | None = None
     since_us: int = 0
     until_us: int = 1 << 62
@@ -72,9 +72,9 @@
     request_type = Request
     counter_group = "timeline"
 
-    def __init__(self, path: str, timeline: Timeline, followers: int, counters: CounterSink) -> None:
+    def __init__(self, path: str, timeline: Timeline, max_followers: int, counters: CounterSink) -> None:
         super().__init__(path, counters)
-        self.timeline, self.max_followers = timeline, followers
+        self.timeline, self.max_followers = timeline, max_followers
         self.followers: set[Follower] = set()
 
     def publish(self, detections: Iterable[Detection]) -> None:
--- a/whintrail/timeline/recorder.py
+++ b/whintrail/timeline/recorder.py
@@ -58,7 +58,7 @@
         settings: TimelineSettings,
         gateway_name: str,
         classes: tuple[str, ...],
-        cold_us: int,
+        cold_duration_us: int,
         now_us: Callable[[], int],
         counters: CounterSink,
         log: EventLog,
@@ -67,7 +67,11 @@
         self.counters, self.log = counters, log
         memory = int(settings.memory_mb * BYTES_PER_MB)
         self.timeline = Timeline(
-            memory, int(settings.raw_s * 1e6), thresholds_from_settings(settings.watch), classes, cold_us
+            memory,
+            int(settings.raw_s * 1e6),
+            thresholds_from_settings(settings.watch),
+            classes,
+            cold_duration_us,
         )
         background = operator_file.background
         self.plan = JobQueue(background.share, background.slice_ms / 1000, background.waiting)
@@ -135,7 +139,7 @@
             text = detection.describe().partition(":")[0]
             self.log.line(f"timeline-{verdict}", text, since_us=detection.since_us, **figures)
         if detections and self.writer is not None:
-            self._submit("judged", Priority.WRITE, self.writer.write_detections(detections), once=False)
+            self._submit("detections", Priority.WRITE, self.writer.write_detections(detections), once=False)
         if detections and self.live_view is not None:
             self.live_view.publish(detections)
 
--- a/whintrail/timeline/store/reader.py
+++ b/whintrail/timeline/store/reader.py
@@ -104,7 +104,7 @@
 
     @classmethod
     def open(cls, directory: str | Path, since: int = 0, until: int = 1 << 62) -> "Reader":
-        """Errors: OSError where the directory can't be read."""
+        """Open all segments of a directory. Errors: OSError if it can't be read."""
         reader = cls(Path(directory))
         for path in sorted(path for path in reader.directory.iterdir() if path.suffix == ".seg"):
             try:
