--- a/whintrail/timeline/recorder.py
+++ b/whintrail/timeline/recorder.py
@@ -139,13 +139,17 @@
             text = detection.describe().partition(":")[0]
             self.log.line(f"timeline-{verdict}", text, since_us=detection.since_us, **figures)
         if detections and self.writer is not None:
-            self._submit("detections", Priority.WRITE, self.writer.write_detections(detections), once=False)
+            self._submit("judged", Priority.WRITE, self.writer.write_detections(detections), once=False)
         if detections and self.live_view is not None:
             self.live_view.publish(detections)
 
     # --- The store's jobs.
 
     def _submit(self, name: str, priority: Priority, job: StepwiseJob, once: bool = True) -> None:
+        """Queue a background job; the counter of dropped jobs contains its name.
+
+        With `once`, the job is not queued again while one of that name is queued or running.
+        """
         if self.runner is None or (once and name in self.queued_jobs):
             job.close()
             return
