--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -125,11 +125,11 @@
     assert len(timeline.detector.engines) <= len(timeline.history.tracks) + 20
 
 
-def test_remarks_of_one_kind_are_recorded_once_a_second_with_their_count() -> None:
+def test_decisions_of_one_kind_are_recorded_once_a_second_with_their_count() -> None:
     timeline = make_timeline()
     timeline.record_engine_list(START_US, engine_list("e1"))
     for number in range(500):
-        timeline.record_remarks(
+        timeline.record_decisions(
             START_US + number * 4000, [api.EngineDecision("e1", api.Reason.COLD_BUDGET_SPENT, number)]
         )
         timeline.tick(START_US + number * 4000)
@@ -139,7 +139,7 @@
     assert sum(bucket.passed_over for bucket in timeline.history.buckets("e1", 0)) == 500
 
 
-def test_the_routing_policy_remarks_why_it_passed_over_an_engine() -> None:
+def test_the_routing_policy_logs_why_it_passed_over_an_engine() -> None:
     from .helpers import PolicyDriver
     from .helpers import settings as given_settings
 
@@ -160,7 +160,7 @@
     assert {api.Reason.BACKOFF_STARTED, api.Reason.DRAINED} <= later_reasons
 
 
-def test_remarks_change_no_decision() -> None:
+def test_logging_decisions_changes_none_of_them() -> None:
     from .helpers import PolicyDriver
     from .helpers import settings as given_settings
 
--- a/whintrail/gateway/dispatcher.py
+++ b/whintrail/gateway/dispatcher.py
@@ -61,7 +61,7 @@
     def record_note(
         self, now: int, engine: str, query: int, topic: api.StatusTopic, value: float
     ) -> None: ...
-    def record_remarks(self, now: int, remarks: list[api.EngineDecision]) -> None: ...
+    def record_decisions(self, now: int, remarks: list[api.EngineDecision]) -> None: ...
     def record_agreement(
         self, now: int, engine: str, decision: str, value: float, gateway_number: float
     ) -> None: ...
@@ -385,7 +385,7 @@
         self._execute(actions)
         if self.policy.decision_log and self.timeline is not None:
             remarks, self.policy.decision_log = self.policy.decision_log, []
-            self._record(self.timeline.record_remarks, self.now_us, remarks)
+            self._record(self.timeline.record_decisions, self.now_us, remarks)
 
     def _record(self, method: Callable[..., None], *arguments: object) -> None:
         """For the time line; its faults are counted, and end nothing."""
--- a/whintrail/timeline/core.py
+++ b/whintrail/timeline/core.py
@@ -135,7 +135,7 @@
     def record_note(self, now: int, engine: str, query: int, topic: api.StatusTopic, value: float) -> None:
         self._enqueue(self._apply_note, now, engine, query, topic, value)
 
-    def record_remarks(self, now: int, decisions: list[api.EngineDecision]) -> None:
+    def record_decisions(self, now: int, decisions: list[api.EngineDecision]) -> None:
         """Reasons for the routing policy's decisions. The timeline takes ownership of the list."""
         self._enqueue(self._apply_decisions, now, decisions)
 
