--- a/whintrail/background/__init__.py
+++ b/whintrail/background/__init__.py
@@ -1,4 +1,4 @@
-"""Work that may wait: jobs with priorities, within a share of the loop's time."""
+"""Deferrable work: jobs with priorities that run within a share of the event loop's time."""
 
 from whintrail.background.queue import Job, JobQueue, Priority
 from whintrail.background.runner import JobRunner
--- a/whintrail/background/queue.py
+++ b/whintrail/background/queue.py
@@ -1,9 +1,10 @@
-"""Which background job runs next, and for how long: pure, so that it is tested without a clock.
+"""Decides which background job runs next and for how long. Pure: the caller passes the time.
 
-A job is a generator that yields wherever it may be put aside. Time is paid from an allowance that grows by
-the stated share of the time that passes, as in a token bucket, and is never saved up beyond a burst. Within
-it the more urgent priority goes first, in turn among equals; a job that waits long rises (ageing), so that
-none starves. More jobs than may wait are shed, the least urgent and newest first, and counted.
+A job is a generator that yields wherever it may be interrupted. Run time is paid from an allowance that grows
+by the configured share of elapsed time, as in a token bucket, and is capped at a short burst. Within the
+allowance the most urgent priority runs first, round robin among equals; a job's priority rises with its
+waiting time (ageing), so that none starves. When more jobs wait than allowed, the newest job of the least
+urgent priority is shed and counted.
 
 Times are seconds on the caller's clock.
 """
@@ -13,12 +14,12 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-AGING_STEP_S = 10.0  # a job rises by one priority for each so long that it waits
-MAX_ALLOWANCE_S = 0.02  # of allowance kept while there is nothing to do
+AGING_STEP_S = 10.0  # waiting time that raises a job by one priority
+MAX_ALLOWANCE_S = 0.02  # run time saved up while no job runs
 
 
 class Priority(IntEnum):
-    WRITE = 0  # what is lost if it is not done soon
+    WRITE = 0  # data that is lost if it is not written soon
     ROLL = 1
     INDEX = 2
     DELETE = 3
@@ -36,8 +37,8 @@
 
 @dataclass(slots=True)
 class JobQueue:
-    share: float  # of the time that passes
-    slice_s: float  # the longest run of a job before others have their turn
+    share: float  # of elapsed time
+    slice_s: float  # longest run of a job before another one may run
     max_waiting: int
     allowance_s: float = MAX_ALLOWANCE_S
     updated_at_s: float = 0.0
@@ -50,29 +51,29 @@
         return sum(map(len, self.queues))
 
     def add(self, job: Job, now_s: float) -> Job | None:
-        """Put the job in line. The job that was shed for it, maybe itself; its work is closed."""
+        """Queue the job. Returns the job that was shed for it, possibly itself; its work is closed."""
         job.queued_at_s = now_s
         self.queues[job.priority].append(job)
         if len(self) <= self.max_waiting:
             return None
-        line = next(line for line in reversed(self.queues) if line)
-        victim = line.pop()
+        queue = next(queue for queue in reversed(self.queues) if queue)
+        victim = queue.pop()
         victim.work.close()
         self.shed[victim.name] += 1
         return victim
 
     def next_job(self, now_s: float) -> Job | None:
-        """The job to run for a slice now; None where there is none, or no allowance for it."""
-        passed = max(0.0, now_s - self.updated_at_s)
+        """The job to run for a slice now; None if there is no job or no allowance left."""
+        elapsed_s = max(0.0, now_s - self.updated_at_s)
         self.updated_at_s = max(now_s, self.updated_at_s)
-        self.allowance_s = min(MAX_ALLOWANCE_S, self.allowance_s + passed * self.share)
+        self.allowance_s = min(MAX_ALLOWANCE_S, self.allowance_s + elapsed_s * self.share)
         if self.allowance_s <= 0.0:
             return None
         best: Job | None = None
-        rank = 0.0
-        for line in self.queues:
-            if line and (best is None or self._effective_priority(line[0], now_s) < rank):
-                best, rank = line[0], self._effective_priority(line[0], now_s)
+        best_priority = 0.0
+        for queue in self.queues:
+            if queue and (best is None or self._effective_priority(queue[0], now_s) < best_priority):
+                best, best_priority = queue[0], self._effective_priority(queue[0], now_s)
         return best
 
     @staticmethod
@@ -80,24 +81,25 @@
         return job.priority - (now_s - job.queued_at_s) / AGING_STEP_S
 
     def record_slice(self, job: Job, took_s: float, finished: bool) -> None:
-        """The job had a slice. Over: it leaves; else it goes behind the others of its priority."""
+        """Charge a slice to the allowance. A finished job is removed, another one moves to the end of its
+        queue."""
         self.allowance_s -= took_s
         job.run_time_s += took_s
         job.slices += 1
-        line = self.queues[job.priority]
-        line.remove(job)
+        queue = self.queues[job.priority]
+        queue.remove(job)
         if finished:
             self.done[job.name] += 1
         else:
-            line.append(job)
+            queue.append(job)
 
     def time_to_allowance_s(self) -> float:
-        """How long until there is allowance again."""
+        """Time until there is allowance again."""
         return max(0.0, -self.allowance_s / self.share) + self.slice_s
 
     def remove_all(self) -> list[Job]:
-        """All jobs, the most urgent first; none is left."""
-        found = [job for line in self.queues for job in line]
-        for line in self.queues:
-            line.clear()
-        return found
+        """Empty the queue; returns all jobs, the most urgent first."""
+        jobs = [job for queue in self.queues for job in queue]
+        for queue in self.queues:
+            queue.clear()
+        return jobs
--- a/whintrail/background/runner.py
+++ b/whintrail/background/runner.py
@@ -1,4 +1,4 @@
-"""Runs the plan on the loop: a slice of at most a millisecond, then everybody else has a turn."""
+"""Runs queued jobs on the event loop in slices of at most a millisecond, yielding to the loop in between."""
 
 import asyncio
 from collections.abc import Callable, Generator
@@ -10,7 +10,7 @@
 
 
 class JobRunner:
-    """One task. A job that raises is over and told to `fault`; no other job and no request suffers."""
+    """A single task. A job that raises is removed and reported to `on_error`; all other work goes on."""
 
     def __init__(self, queue: JobQueue, on_error: ErrorHandler) -> None:
         self.queue, self.on_error = queue, on_error
@@ -18,7 +18,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def submit(self, name: str, priority: Priority, work: Generator[None, None, None]) -> bool:
-        """False if there was no room for it."""
+        """False if the job was shed for lack of room."""
         job = Job(name, priority, work)
         victim = self.queue.add(job, perf_counter())
         self.has_work.set()
@@ -37,23 +37,23 @@
             await asyncio.sleep(0)
 
     def _run_slice(self, job: Job) -> None:
-        start = before = perf_counter()
-        over = False
+        started = previous = perf_counter()
+        finished = False
         try:
-            while before - start < self.queue.slice_s:
+            while previous - started < self.queue.slice_s:
                 next(job.work)
                 now = perf_counter()
-                self.queue.longest_step_s = max(self.queue.longest_step_s, now - before)
-                before = now
+                self.queue.longest_step_s = max(self.queue.longest_step_s, now - previous)
+                previous = now
         except StopIteration:
-            over = True
-        except Exception as error:  # a full disk, say: never the gateway's end
-            over = True
+            finished = True
+        except Exception as error:  # for instance a full disk, which must not stop the gateway
+            finished = True
             self.on_error(job.name, error)
-        self.queue.record_slice(job, perf_counter() - start, over)
+        self.queue.record_slice(job, perf_counter() - started, finished)
 
     async def close(self) -> None:
-        """What must not be lost is finished; the rest is closed."""
+        """Stop, but finish the jobs of priority WRITE; all others are closed."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         for job in self.queue.remove_all():
--- a/whintrail/cli/__init__.py
+++ b/whintrail/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line. Each sub-command is imported when it is called for, so that none pays for another."""
+"""The command line. Each sub-command is imported only when it is called, to keep the others fast."""
 
 from whintrail.cli.root import main
 
--- a/whintrail/cli/check.py
+++ b/whintrail/cli/check.py
@@ -1,4 +1,4 @@
-"""`whintrail check`."""
+"""`whintrail check`: validates an operator's file."""
 
 import click
 import msgspec
@@ -14,20 +14,20 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--show", is_flag=True, help="Print the settings in force with this file, as JSON.")
 def check(file: str, show: bool) -> int:
-    """Check an operator's file as the start and SIGHUP do. Status 2 where it can't be used.
+    """Check an operator's file as the start and SIGHUP do. Status 2 if it can't be used.
 
     \b
     Example:
       whintrail check deploy/whintrail.jsonnet --show
     """
     try:
-        given = read_operator_file(file)
+        operator_file = read_operator_file(file)
     except OperatorFileError as error:
         raise InvalidFile(str(error)) from error
     if show:
-        click.echo(msgspec.json.format(msgspec.json.encode(given), indent=2).decode())
+        click.echo(msgspec.json.format(msgspec.json.encode(operator_file), indent=2).decode())
     else:
-        parts = {"the time line": given.timeline, "the fleet": given.fleet}
-        told = ", ".join(f"{name} is {'off' if part is None else 'on'}" for name, part in parts.items())
-        click.echo(f"{file}: can be used; {told}")
+        features = {"the time line": operator_file.timeline, "the fleet": operator_file.fleet}
+        states = ", ".join(f"{name} is {'off' if part is None else 'on'}" for name, part in features.items())
+        click.echo(f"{file}: can be used; {states}")
     return 0
--- a/whintrail/cli/demo.py
+++ b/whintrail/cli/demo.py
@@ -1,4 +1,4 @@
-"""`whintrail demo`: the gateway with stand-in engines on loopback, so that it can be tried at once."""
+"""`whintrail demo`: a gateway with stand-in engines on loopback, to try it without any setup."""
 
 import asyncio
 import json
@@ -13,6 +13,8 @@
 
 from whintrail.standins.fleet import Fleet
 
+CONNECT_RETRY_S = 0.05
+
 
 def _free_port() -> int:
     with socket.socket() as sock:
@@ -34,27 +36,30 @@
         loop, stop = asyncio.get_running_loop(), asyncio.Event()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, stop.set)
-        ended = loop.create_task(process.wait())
-        stopping = loop.create_task(stop.wait())
+        process_ended = loop.create_task(process.wait())
+        stop_requested = loop.create_task(stop.wait())
         try:
-            if await _wait_until_serving(port, ended):
+            if await _wait_until_serving(port, process_ended):
                 click.echo(f"{engines} stand-in engines behind a gateway on 127.0.0.1:{port}. Ask it:")
                 click.echo(
                     f'  psql "host=127.0.0.1 port={port} user=app dbname=dw sslmode=disable" -c'
                     ' "/* op=lookup,call=9b1f03aa5c7e2d41,ttl=4000 */ SELECT day FROM sales_17.orders"'
                 )
                 click.echo("Every query needs a call of its own (16 hex digits). Ctrl-C ends it.")
-                await asyncio.wait([ended, stopping], timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(
+                    [process_ended, stop_requested], timeout=seconds, return_when=asyncio.FIRST_COMPLETED
+                )
         finally:
-            if not ended.done():
+            if not process_ended.done():
                 process.send_signal(signal.SIGTERM)
-            code = await ended
-            stopping.cancel()
+            exit_code = await process_ended
+            stop_requested.cancel()
             await fleet.close()
-    return code
+    return exit_code
 
 
 async def _wait_until_serving(port: int, process_ended: "asyncio.Task[int]") -> bool:
+    """Whether the gateway accepts sessions; False if its process has ended."""
     from whintrail.standins.load import LoadClient
 
     while not process_ended.done():
@@ -63,7 +68,7 @@
             await client.open()
             return True
         except OSError:
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(CONNECT_RETRY_S)
         finally:
             client.close()
     return False
@@ -73,7 +78,7 @@
 @click.option("--engines", type=click.IntRange(1, 200), default=4, show_default=True)
 @click.option("--port", type=click.IntRange(0, 65535), default=0, help="0: any that is free.")
 @click.option("--file", "operator_file", type=click.Path(dir_okay=False), help="The operator's file.")
-@click.option("--seconds", type=float, help="End by itself after so long.")
+@click.option("--seconds", type=float, help="Stop after this time.")
 def demo(engines: int, port: int, operator_file: str | None, seconds: float | None) -> int:
     """Start a gateway on loopback with stand-in engines and a sample configuration.
 
--- a/whintrail/cli/fleet.py
+++ b/whintrail/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`whintrail fleet`: drains, restarts and releases on which the gateways agree, asked of a running one."""
+"""`whintrail fleet`: coordinated drains, restarts and releases, requested from a running gateway."""
 
 import sys
 from itertools import pairwise
@@ -9,7 +9,10 @@
 from whintrail.cli.output import format_option, print_rows
 from whintrail.control.json_lines import ControlError, send_request
 
-EXIT_REFUSED, EXIT_TIMED_OUT = 3, 4  # 1 and 2 are those of every sub-command
+EXIT_REFUSED = 3  # 1 and 2 are those of every sub-command
+EXIT_TIMED_OUT = 4
+MAX_RELEASE_STEPS = 8
+REPLY_MARGIN_S = 5  # the gateway's reply may take longer than its own wait
 MEMBER_COLUMNS = ["member", "state", "out", "build", "zone", "since_s"]
 
 socket_option = click.option(
@@ -27,7 +30,7 @@
 
 
 def fetch_rows(path: str, timeout_s: float = 10.0, **request: Any) -> list[dict[str, Any]]:
-    """Errors: ClickException."""
+    """All rows of an answer. Errors: ClickException."""
     try:
         return list(send_request(path, request, timeout_s))
     except ControlError as error:
@@ -35,11 +38,11 @@
 
 
 def submit_change(path: str, form: str, wait_s: float, done_text: str, **request: Any) -> int:
-    """Ask for a change and print its outcome; the exit code: 0 done, 3 refused, 4 not within the time."""
-    found = fetch_rows(path, wait_s + 5, wait_s=wait_s, **request)
-    if not found:
+    """Request a change and print its outcome. Exit code: 0 done, 3 refused, 4 not within the time."""
+    answer = fetch_rows(path, wait_s + REPLY_MARGIN_S, wait_s=wait_s, **request)
+    if not answer:
         raise click.ClickException("the gateway ended before it answered")
-    row = found[0]
+    row = answer[0]
     if form == "json":
         print_rows([row], [], form)
     elif row["word"] == "done":
@@ -52,7 +55,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Drains, restarts and releases on which the gateways agree.
+    """Drains, restarts and releases that the gateways coordinate.
 
     \b
     Examples:
@@ -70,14 +73,14 @@
 @socket_option
 @format_option
 def status(path: str, form: str) -> int:
-    """What is agreed, as this gateway knows it; the leader also tells who is out."""
+    """The committed state as this gateway knows it; the leader also reports which gateways are out."""
     row = fetch_rows(path, what="status")[0]
     if form == "json":
         print_rows([row], [], form)
     else:
         for name, value in row.items():
             if isinstance(value, dict):
-                value = ", ".join(f"{key}: {what}" for key, what in value.items()) or "none"
+                value = ", ".join(f"{key}: {item}" for key, item in value.items()) or "none"
             click.echo(f"{name:10} {'-' if value is None else value}")
     return 0
 
@@ -94,13 +97,14 @@
 @fleet.command()
 @click.argument("engine")
 @why_option
-@click.option("--limit-s", type=click.IntRange(0), default=0, help="A drain not done by then; 0: none.")
-@click.option("--undo", is_flag=True, help="Past its limit it undoes itself; else it holds.")
+@click.option("--limit-s", type=click.IntRange(0), default=0, help="Time limit of the drain; 0: none.")
+@click.option("--undo", is_flag=True, help="Undo the drain at its limit; otherwise it stays.")
 @wait_option
 @socket_option
 @format_option
 def drain(engine: str, why: str, limit_s: int, undo: bool, wait_s: float, path: str, form: str) -> int:
-    """No gateway sends anything new to an engine. Answered once agreed; `status` tells when it is done."""
+    """Stop all gateways from sending new attempts to an engine. Answered once committed; `status` reports
+    when the drain is complete."""
     request = {"what": "drain", "engine": engine, "why": why, "limit_s": limit_s, "undo": undo}
     return submit_change(path, form, wait_s, f"{engine} is drained", **request)
 
@@ -112,7 +116,7 @@
 @socket_option
 @format_option
 def undrain(engine: str, why: str, wait_s: float, path: str, form: str) -> int:
-    """The way back of `drain`."""
+    """Undo a drain."""
     return submit_change(path, form, wait_s, f"{engine} is back", what="undrain", engine=engine, why=why)
 
 
@@ -122,7 +126,7 @@
 @socket_option
 @format_option
 def may_restart(wait_s: float, stop: bool, path: str, form: str) -> int:
-    """Whether the gateway behind the socket may be restarted now: a slot with its fencing number.
+    """Request a restart slot, with its fencing number, for the gateway behind the socket.
 
     Without --stop the caller sends SIGTERM within the time that the answer gives; later, the slot is given
     back and the stop counts as one without a slot.
@@ -137,16 +141,17 @@
 @socket_option
 @format_option
 def give_up(member: int, wait_s: float, path: str, form: str) -> int:
-    """Free the slot of a gateway that will not come back under its own power."""
+    """Free the slot of a gateway that will not come back by itself."""
     return submit_change(path, form, wait_s, f"n{member} holds no slot", what="give-up", member=member)
 
 
 @fleet.group()
 def release() -> None:
-    """A release in steps: each compares the new build with the old one, and goes on, waits or halts."""
+    """A release in steps: each compares the new build with the old one, and continues, waits or halts."""
 
 
 def parse_steps(text: str) -> tuple[float, ...]:
+    """Errors: UsageError."""
     try:
         return tuple(float(part) for part in text.split(","))
     except ValueError as error:
@@ -156,7 +161,7 @@
 def check_steps(steps: tuple[float, ...]) -> None:
     """Errors: UsageError."""
     rising = all(a < b for a, b in pairwise(steps))
-    if not rising or steps[0] <= 0 or steps[-1] != 1 or len(steps) > 8:
+    if not rising or steps[0] <= 0 or steps[-1] != 1 or len(steps) > MAX_RELEASE_STEPS:
         raise click.UsageError("--steps: at most eight shares, rising to 1")
 
 
@@ -165,12 +170,12 @@
 @click.option("--steps", default="0.02,0.1,0.5,1", show_default=True, help="Shares of the fleet on it.")
 @click.option("--fleet-size", type=click.IntRange(1), default=200, show_default=True)
 def plan(build: str, steps: str, fleet_size: int) -> int:
-    """How many gateways each step would put on the build; asks nobody."""
+    """How many gateways each step would put on the build; contacts no gateway."""
     shares = parse_steps(steps)
     check_steps(shares)
     table = [
-        {"step": place + 1, "share": share, "gateways": max(1, -(-round(share * 1000) * fleet_size // 1000))}
-        for place, share in enumerate(shares)
+        {"step": index + 1, "share": share, "gateways": max(1, -(-round(share * 1000) * fleet_size // 1000))}
+        for index, share in enumerate(shares)
     ]
     click.echo(f"to {build}")
     print_rows(table, ["step", "share", "gateways"], "table")
@@ -194,17 +199,19 @@
 
 
 def add_status_command(name: str, help_text: str, done_text: str) -> None:
+    """Define a command that changes the status of the release."""
+
     @release.command(name, help=help_text)
     @why_option
     @wait_option
     @socket_option
     @format_option
-    def turn(why: str, wait_s: float, path: str, form: str) -> int:
+    def change_status(why: str, wait_s: float, path: str, form: str) -> int:
         return submit_change(path, form, wait_s, done_text, what=name, why=why)
 
 
-add_status_command("halt", "Nothing more goes out for the release.", "halted")
-add_status_command("resume", "Go on with a halted release.", "resumed")
+add_status_command("halt", "Put no more gateways on the new build.", "halted")
+add_status_command("resume", "Continue a halted release.", "resumed")
 add_status_command("back", "Return to the old build, in the same slots.", "it goes back")
 
 
@@ -212,7 +219,7 @@
 @socket_option
 @format_option
 def watch(path: str, form: str) -> int:
-    """What is decided, as it is decided, until interrupted."""
+    """Print decisions as they are committed, until interrupted."""
     try:
         for row in send_request(path, {"what": "watch"}, None):
             print_rows([row], ["at", "event", *[key for key in row if key not in ("at", "event")]], form)
--- a/whintrail/cli/output.py
+++ b/whintrail/cli/output.py
@@ -1,4 +1,4 @@
-"""Rows as a table for people or as JSON, a row a line, for programs."""
+"""Prints rows as a table for people, or as JSON, one row per line, for programs."""
 
 import sys
 from collections.abc import Iterable, Mapping, Sequence
@@ -7,6 +7,8 @@
 import click
 import orjson
 
+MAX_ROWS_FOR_WIDTHS = 1000
+
 format_option = click.option(
     "--format", "form", type=click.Choice(["table", "json"]), default="table", show_default=True
 )
@@ -19,7 +21,7 @@
 
 
 def print_rows(rows: Iterable[Mapping[str, Any]], columns: Sequence[str], form: str) -> int:
-    """Print the rows; how many they were. A table's widths are those of its first 1,000 rows."""
+    """Print the rows; returns their number. The widths of a table are those of its first 1,000 rows."""
     count = 0
     if form == "json":
         for row in rows:
@@ -28,13 +30,14 @@
         sys.stdout.buffer.flush()
         return count
     source = iter(rows)
-    head: list[list[str]] = []
+    first_rows: list[list[str]] = []
     for row in source:
-        head.append([_format_cell(row.get(column)) for column in columns])
-        if len(head) == 1000:
+        first_rows.append([_format_cell(row.get(column)) for column in columns])
+        if len(first_rows) == MAX_ROWS_FOR_WIDTHS:
             break
     widths = [
-        max(len(c), *(len(line[i]) for line in head)) if head else len(c) for i, c in enumerate(columns)
+        max(len(column), *(len(cells[i]) for cells in first_rows)) if first_rows else len(column)
+        for i, column in enumerate(columns)
     ]
 
     def write(cells: Sequence[str]) -> None:
@@ -42,9 +45,9 @@
         sys.stdout.write(text.rstrip() + "\n")
 
     write([column.upper() for column in columns])
-    for line in head:
-        write(line)
-    count = len(head)
+    for cells in first_rows:
+        write(cells)
+    count = len(first_rows)
     for row in source:
         write([_format_cell(row.get(column)) for column in columns])
         count += 1
--- a/whintrail/cli/root.py
+++ b/whintrail/cli/root.py
@@ -1,4 +1,4 @@
-"""`whintrail SUBCOMMAND`: the group, its exit codes, and errors in one line.
+"""`whintrail SUBCOMMAND`: the command group, its exit codes, and one-line error messages.
 
 Exit codes: 0 done; 1 it could not be done (the line says why); 2 wrong usage, or a file that can't be used.
 """
@@ -22,7 +22,7 @@
 
 
 class LazyGroup(click.Group):
-    """Sub-commands by name; the module of one is imported only when it is used or helped with."""
+    """Sub-commands by name; a command's module is imported only when it is called or its help is shown."""
 
     command_paths = COMMANDS
     requirements_file = "requirements-operator.txt"
@@ -31,9 +31,9 @@
         return list(self.command_paths)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if (where := self.command_paths.get(cmd_name)) is None:
+        if (path := self.command_paths.get(cmd_name)) is None:
             return None
-        module, _, name = where.partition(":")
+        module, _, name = path.partition(":")
         try:
             command = getattr(importlib.import_module(module), name)
         except ModuleNotFoundError as error:
@@ -47,13 +47,13 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="whintrail", message="%(version)s")
 def root() -> None:
-    """A query gateway for engines short of memory.
+    """A query gateway for engines with limited memory.
 
     \b
     Examples:
       whintrail demo                              a gateway with stand-in engines on loopback
-      whintrail check deploy/whintrail.jsonnet    the operator's file, without starting
-      whintrail timeline show --store DIR s-12    what an engine went through
+      whintrail check deploy/whintrail.jsonnet    validate the operator's file without starting
+      whintrail timeline show --store DIR s-12    the history of an engine
 
     \b
     Shell completion:
@@ -62,7 +62,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a sub-command; its exit code. Errors are one line on standard error, never a trace."""
+    """Run a sub-command; returns its exit code. Errors are one line on standard error, never a traceback."""
     try:
         result = root.main(arguments, prog_name="whintrail", standalone_mode=False)
     except click.exceptions.Exit as end:
--- a/whintrail/cli/scale.py
+++ b/whintrail/cli/scale.py
@@ -1,4 +1,5 @@
-"""`whintrail scale`: what a size costs, measured, fitted and held against budgets (`docs/CAPACITY.md`)."""
+"""`whintrail scale`: the cost of a fleet's size, measured, fitted and checked against budgets
+(`docs/CAPACITY.md`)."""
 
 import click
 
@@ -21,12 +22,12 @@
 
 @click.group(cls=LazyScaleGroup)
 def scale() -> None:
-    """What a size costs: measured at several sizes, fitted, and held against budgets.
+    """The cost of a fleet's size: measured at several sizes, fitted, and checked against budgets.
 
     \b
     Examples:
-      whintrail scale slopes --to docs/capacity/slopes.json     cores alone, at several sizes
+      whintrail scale slopes --to docs/capacity/slopes.json     components alone, at several sizes
       whintrail scale run deploy/scale/small.jsonnet            real and hollow gateways, one size
       whintrail scale report                                    the tables of docs/CAPACITY.md
-      whintrail scale check                                     exit status 1 where a budget is passed
+      whintrail scale check                                     exit status 1 if a budget is exceeded
     """
--- a/whintrail/cli/serve.py
+++ b/whintrail/cli/serve.py
@@ -1,4 +1,4 @@
-"""`whintrail serve`."""
+"""`whintrail serve`: runs the gateway."""
 
 import os
 
@@ -15,7 +15,7 @@
     Example:
       whintrail serve --config config.json --file deploy/whintrail.jsonnet
 
-    Without --file and $WHINTRAIL_FILE all that the operator's file could turn on is off.
+    Without --file and $WHINTRAIL_FILE all that the operator's file can turn on is off.
     """
     if config is not None:
         os.environ["RELAY_CONFIG"] = config
--- a/whintrail/config/__init__.py
+++ b/whintrail/config/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: Jsonnet, checked into typed records. Absent, all that it could turn on is off."""
+"""The operator's file: Jsonnet, validated into typed records. Without it, every optional feature is off."""
 
 from whintrail.config.reader import FILE_VARIABLE, OperatorFileError, read_operator_file
 from whintrail.config.records import (
--- a/whintrail/config/records.py
+++ b/whintrail/config/records.py
@@ -1,6 +1,6 @@
-"""What an operator may set, with the bounds of every value. Names and units are those of the file.
+"""The records of the operator's file, with the bounds of every value. Field names are the keys of the file.
 
-A misspelt name is an error, never a setting that silently does nothing.
+An unknown key is an error, so that a misspelt setting can't be ignored silently.
 """
 
 from typing import Annotated, Any, Literal
@@ -13,25 +13,25 @@
 
 class Logging(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     format: Literal["line", "json"] = "line"
-    burst: Annotated[float, Meta(ge=1.0, le=1000.0)] = 5.0  # lines of one kind at once
+    burst: Annotated[float, Meta(ge=1.0, le=1000.0)] = 5.0  # lines of one kind in a burst
     per_second: Annotated[float, Meta(gt=0.0, le=1000.0)] = 1.0
 
 
 class Background(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Work that may wait: what it may take of the loop, and how much of it may wait."""
+    """Deferrable work: its share of the event loop's time, and the size of its queue."""
 
     share: Share = 0.05
     slice_ms: Annotated[float, Meta(ge=0.1, le=1.0)] = 0.5
-    waiting: Annotated[int, Meta(ge=1, le=100_000)] = 256  # jobs; more are shed, the least urgent first
+    waiting: Annotated[int, Meta(ge=1, le=100_000)] = 256  # jobs; more are shed, least urgent first
 
 
 class DetectionThresholds(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """When the judge calls an engine's behaviour unusual. Higher thresholds: later and fewer alarms."""
+    """When the detector reports an engine's behaviour. Higher thresholds mean later and fewer detections."""
 
-    stalled_evidence: Annotated[float, Meta(ge=3.0, le=100.0)] = 14.0  # -ln of the chance that it is well
+    stalled_evidence: Annotated[float, Meta(ge=3.0, le=100.0)] = 14.0  # -ln of the chance that it is healthy
     stalled_least_s: Seconds = 1.0
-    slow_factor: Annotated[float, Meta(ge=1.2, le=100.0)] = 2.5  # against itself before, and its peers
-    slow_evidence: Annotated[float, Meta(ge=3.0, le=1000.0)] = 16.0  # the CUSUM's threshold
+    slow_factor: Annotated[float, Meta(ge=1.2, le=100.0)] = 2.5  # relative to its past and its peers
+    slow_evidence: Annotated[float, Meta(ge=3.0, le=1000.0)] = 16.0  # threshold of the CUSUM test
     failing_share: Annotated[float, Meta(ge=0.05, le=1.0)] = 0.3
     flapping_turns: Annotated[int, Meta(ge=2, le=100)] = 3
     flapping_within_s: Seconds = 60.0
@@ -48,16 +48,16 @@
 
 
 class Timeline(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    memory_mb: Annotated[float, Meta(ge=0.25, le=1024.0)] = 8.0  # over all engines, come and gone
-    raw_s: Seconds = 300.0  # raw events at most so old
+    memory_mb: Annotated[float, Meta(ge=0.25, le=1024.0)] = 8.0  # for all engines, present and removed
+    raw_s: Seconds = 300.0  # maximum age of raw events
     watch: DetectionThresholds = DetectionThresholds()
     store: Store | None = None
-    socket: Annotated[str, Meta(min_length=1, max_length=100)] | None = None  # of the live view
+    socket: Annotated[str, Meta(min_length=1, max_length=100)] | None = None  # path of the live view
     followers: Annotated[int, Meta(ge=1, le=64)] = 8
 
 
 class OutLimits(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """How much may be out at a time: a count, or below 1 a share; in all and in a zone."""
+    """How many may be out at a time, in total and per zone: a count, or if below 1 a share."""
 
     gateways: Annotated[float, Meta(gt=0.0, le=1000.0)] = 1.0
     gateways_a_zone: Annotated[float, Meta(gt=0.0, le=1000.0)] = 1.0
@@ -66,40 +66,40 @@
 
 
 class RegressionCriteria(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """When a new build counts as worse than the old one, and how sure the release wants to be."""
+    """When a new build counts as worse than the old one, and the error rates of that decision."""
 
-    times: Annotated[float, Meta(ge=1.1, le=100.0)] = 2.0
-    least: Annotated[float, Meta(ge=0.001, le=0.5)] = 0.03
-    halted_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.01
-    passed_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.05
+    times: Annotated[float, Meta(ge=1.1, le=100.0)] = 2.0  # ratio to the old build's share
+    least: Annotated[float, Meta(ge=0.001, le=0.5)] = 0.03  # minimum increase of the share
+    halted_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.01  # false positive rate
+    passed_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.05  # false negative rate
     least_queries: Annotated[int, Meta(ge=1, le=1_000_000)] = 50
 
 
 class Versions(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Settings on which the gateways agree; see docs/versions.md."""
+    """Config versions, which the gateways activate together; see docs/versions.md."""
 
-    lease_s: Annotated[float, Meta(ge=0.3, le=60.0)] = 1.2  # a gateway acts on what it was told for so long
-    list_silent_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 3.0  # of the bulletin: the list is old
-    check_s: Annotated[float, Meta(ge=1.0, le=600.0)] = 10.0  # for all to say whether they can act on it
+    lease_s: Annotated[float, Meta(ge=0.3, le=60.0)] = 1.2  # how long a gateway applies a version
+    list_silent_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 3.0  # then the engine list is stale
+    check_s: Annotated[float, Meta(ge=1.0, le=600.0)] = 10.0  # for all gateways to check a proposal
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     council: Annotated[tuple[Annotated[int, Meta(ge=0, le=0xFFFF)], ...], Meta(min_length=1, max_length=7)]
-    build: Annotated[str, Meta(max_length=24)] = ""  # of this gateway's program; $WHINTRAIL_BUILD wins
+    build: Annotated[str, Meta(max_length=24)] = ""  # of this gateway; $WHINTRAIL_BUILD overrides it
     out: OutLimits = OutLimits()
     worse: RegressionCriteria = RegressionCriteria()
-    use_within_s: Annotated[float, Meta(ge=0.5, le=60.0)] = 1.5  # a slot
-    proven_s: Annotated[float, Meta(ge=0.1, le=3600.0)] = 3.0  # a new process has to have served so long
-    quarantine_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 4.0  # before a council that forgot begins anew
+    use_within_s: Annotated[float, Meta(ge=0.5, le=60.0)] = 1.5  # time to use a slot
+    proven_s: Annotated[float, Meta(ge=0.1, le=3600.0)] = 3.0  # serving time that proves a new process
+    quarantine_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 4.0  # before a new epoch after a loss of state
     messages_per_s: Annotated[float, Meta(ge=50.0, le=100_000.0)] = 400.0
     bytes_per_s: Annotated[float, Meta(ge=5_000.0, le=1e9)] = 40_000.0
-    versions: Versions | None = None  # absent: no settings but those of the files
-    socket: Annotated[str, Meta(min_length=1, max_length=100)] | None = None  # of `whintrail fleet`
+    versions: Versions | None = None  # absent: only the settings of the files
+    socket: Annotated[str, Meta(min_length=1, max_length=100)] | None = None  # path for `whintrail fleet`
 
 
 class Region(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Zones near one another, and the numbers of the gateways that stand there."""
+    """Zones near one another, and the range of the gateways there."""
 
     zones: Annotated[tuple[Annotated[str, Meta(min_length=1, max_length=64)], ...], Meta(min_length=1)]
     first: Annotated[int, Meta(ge=0, le=0xFFFF)]
@@ -107,12 +107,12 @@
 
 
 class Subset(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Each gateway keeps a part of the engines, by arithmetic on which all agree; see docs/subset.md."""
+    """Each gateway keeps a subset of the engines, computed alike by all gateways; see docs/subset.md."""
 
-    size: Annotated[int, Meta(ge=8, le=100_000)] = 80  # engines a gateway keeps
-    least_holders: Annotated[int, Meta(ge=1, le=1000)] = 8  # gateways that keep an engine
-    least_stratum: Annotated[int, Meta(ge=0, le=1000)] = 4  # engines, where a class is bound to places
-    batch_ms: Annotated[int, Meta(ge=50, le=2000)] = 500  # what probes bring waits so long at most for more
+    size: Annotated[int, Meta(ge=8, le=100_000)] = 80  # engines per gateway
+    least_holders: Annotated[int, Meta(ge=1, le=1000)] = 8  # minimum of gateways per engine
+    least_stratum: Annotated[int, Meta(ge=0, le=1000)] = 4  # minimum of engines for a bound class
+    batch_ms: Annotated[int, Meta(ge=50, le=2000)] = 500  # maximum wait of a probe report for more
     regions: tuple[Region, ...] = ()
 
 
@@ -123,4 +123,4 @@
     timeline: Timeline | None = None  # absent: off
     fleet: Fleet | None = None  # absent: off
     subset: Subset | None = None  # absent: each gateway keeps all engines
-    rules: dict[str, Any] | None = None  # see docs/versions.md; with fleet.versions only told, not applied
+    rules: dict[str, Any] | None = None  # docs/versions.md; only compared if fleet.versions is set
--- a/whintrail/control/__init__.py
+++ b/whintrail/control/__init__.py
@@ -1,4 +1,4 @@
-"""The local way into a running gateway: Unix sockets that answer one JSON line with JSON lines."""
+"""Local access to a running gateway: Unix sockets that answer one JSON line with JSON lines."""
 
 from whintrail.control.json_lines import LineServer, encode_json, send_request
 
--- a/whintrail/control/json_lines.py
+++ b/whintrail/control/json_lines.py
@@ -1,7 +1,7 @@
-"""A Unix socket that answers one JSON line with JSON lines, and its client.
+"""A Unix socket server that answers one JSON line with JSON lines, and its client.
 
-Sizes are bounded before memory is taken; a client that doesn't read holds up nobody: one that takes nothing
-for seconds is hung up on.
+Sizes are checked before memory is allocated. A client that does not read delays no other one: it is
+disconnected once a write has made no progress for WRITE_TIMEOUT_S.
 """
 
 import asyncio
@@ -13,8 +13,10 @@
 
 import msgspec
 
-MAX_REQUEST_BYTES, MAX_CLIENTS = 4096, 32
-WRITE_TIMEOUT_S, READ_TIMEOUT_S = 5.0, 5.0
+MAX_REQUEST_BYTES = 4096
+MAX_CLIENTS = 32
+WRITE_TIMEOUT_S = 5.0
+READ_TIMEOUT_S = 5.0
 encode_json = msgspec.json.encode
 
 
@@ -23,25 +25,28 @@
 
 
 class LineServer:
-    """Errors of the constructor: OSError where the socket can't be had."""
+    """Base of the control sockets: a subclass implements `handle_request`.
+
+    Errors of the constructor: OSError if the socket can't be opened.
+    """
 
     request_type: type[Any] = dict
-    counter_group = "control"  # of its counters
-    max_request_bytes = MAX_REQUEST_BYTES  # bytes
+    counter_group = "control"
+    max_request_bytes = MAX_REQUEST_BYTES
 
     def __init__(self, path: str, counters: CounterSink) -> None:
         self.counters = counters
         self.client_tasks: set[asyncio.Task[None]] = set()
         with suppress(FileNotFoundError):
-            os.unlink(path)  # of a gateway that was killed
+            os.unlink(path)  # left behind by a gateway that was killed
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.listener.setblocking(False)
         try:
-            before = os.umask(0o177)  # whoever may read and steer is the gateway's own user
+            previous_umask = os.umask(0o177)  # only the gateway's own user may connect
             try:
                 self.listener.bind(path)
             finally:
-                os.umask(before)
+                os.umask(previous_umask)
             self.listener.listen(16)
         except OSError:
             self.listener.close()
@@ -86,7 +91,8 @@
 
     @staticmethod
     async def write(sock: socket.socket, data: bytes) -> None:
-        """Cancelled half-way it leaves half a message: every caller closes then."""
+        """Send all data. Cancellation may leave a partial line behind, so every caller closes the socket
+        then."""
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             await asyncio.get_running_loop().sock_sendall(sock, data)
 
@@ -95,7 +101,7 @@
 
     @staticmethod
     async def wait_closed(sock: socket.socket) -> None:
-        """Returns once the client has hung up."""
+        """Returns once the client has closed the connection."""
         chunk = bytearray(64)
         with suppress(OSError):
             while await asyncio.get_running_loop().sock_recv_into(sock, chunk):
@@ -108,13 +114,13 @@
 
 
 class ControlError(Exception):
-    """What the other side said, or why it could not be reached. One line."""
+    """The gateway answered with an error or could not be reached. The text is one line."""
 
 
 def send_request(
     path: str, request: dict[str, Any], timeout_s: float | None = 10.0
 ) -> Iterator[dict[str, Any]]:
-    """The rows that a running gateway answers. Errors: LinesError."""
+    """The rows with which a running gateway answers. Errors: ControlError."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(timeout_s)
         try:
--- a/whintrail/structures/__init__.py
+++ b/whintrail/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures made for the gateway's jobs; each is measured against a plain one in benchmarks/."""
+"""Data structures for the gateway's hot paths; benchmarks/ compares each with a plain alternative."""
--- a/whintrail/structures/wheel.py
+++ b/whintrail/structures/wheel.py
@@ -1,12 +1,12 @@
-"""A hierarchical timing wheel with cancellation that fires in exactly the order of a heap.
+"""A hierarchical timing wheel with cancellation that fires timers in exactly the order of a heap.
 
-After Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (SOSP 1987). A timer hangs in the slot of
-the lowest level on which its tick differs from the current one, so setting and cancelling cost the same
-whatever the number of timers; a slot of a higher level is dealt out to lower ones when its time comes.
-What is due within the current tick waits in a small heap, which restores the order by microseconds and, for
-equal times, by the order in which the timers were set.
+After Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (SOSP 1987). A timer is kept in a slot of
+the lowest level on which its tick differs from the current one, so scheduling and cancelling take the same
+time for any number of timers. When the time of a slot on a higher level comes, its timers move to lower
+levels. Timers due within the current tick wait in a small heap, which orders them by microsecond and, for
+equal times, by the order in which they were scheduled.
 
-Times are whole microseconds on the caller's clock. Nothing here reads one.
+Times are whole microseconds on the caller's clock; the wheel itself reads no clock.
 """
 
 from collections.abc import Callable
@@ -15,19 +15,21 @@
 TICK_BITS = 10  # a tick is 1,024 us
 SLOT_BITS = 6
 SLOTS = 1 << SLOT_BITS
-LEVELS = 9  # 2 ** (10 + 6 * 9) us: later than any clock tells
+LEVELS = 9  # 2 ** (10 + 6 * 9) us: beyond the range of any clock
 SLOT_MASK = SLOTS - 1
+NO_OCCUPIED_TICK = 1 << 62  # later than any tick
+MIN_COMPACTION_ENTRIES = 64  # smaller heaps keep their cancelled entries until these are due
 
 
 class Timer:
-    """One set timer. `then` is None once it was fired or cancelled: it keeps nothing alive any more."""
+    """A scheduled timer. `callback` is None once it fired or was cancelled, so that it is not kept alive."""
 
     __slots__ = ("callback", "due_us", "sequence", "slot")
 
     def __init__(self, due_us: int, sequence: int, callback: Callable[[], None]) -> None:
         self.due_us, self.sequence = due_us, sequence
         self.callback: Callable[[], None] | None = callback
-        self.slot: dict[int, Timer] | None = None  # its slot; None: in the heap of the current tick
+        self.slot: dict[int, Timer] | None = None  # None: in the heap of the current tick
 
     @property
     def pending(self) -> bool:
@@ -35,9 +37,9 @@
 
 
 class TimingWheel:
-    """Timers by time. `now_us`: where it begins; earlier times are due at once.
+    """Timers ordered by time. The wheel begins at `now_us`; earlier times are due at once.
 
-    `len()` is the number of timers that are set and neither fired nor cancelled.
+    `len()` is the number of pending timers.
     """
 
     __slots__ = (
@@ -54,28 +56,28 @@
         self._current_tick = now_us >> TICK_BITS
         self._due_heap: list[tuple[int, int, Timer]] = []
         self._levels: list[list[dict[int, Timer] | None]] = [[None] * SLOTS for _ in range(LEVELS)]
-        self._occupied = [0] * LEVELS  # a bit a slot that may hold timers
+        self._occupied = [0] * LEVELS  # per level, a bit for each slot that may hold timers
         self._count = 0
-        self._next_occupied_tick = 1 << 62  # no slot that begins before this tick holds anything
-        self.last_sequence = 0  # of the timer set last
+        self._next_occupied_tick = NO_OCCUPIED_TICK  # lower bound: slots before this tick are empty
+        self.last_sequence = 0  # of the timer scheduled last
 
     def __len__(self) -> int:
         return self._count
 
     def schedule(self, due_us: int, callback: Callable[[], None]) -> Timer:
-        """Call for `then` at `when_us`; it is handed out by `pop`, never called here."""
-        self.last_sequence = number = self.last_sequence + 1
-        timer = Timer(due_us, number, callback)
+        """Schedule `callback` for `due_us`. `pop_due` returns it; the wheel never calls it."""
+        self.last_sequence = sequence = self.last_sequence + 1
+        timer = Timer(due_us, sequence, callback)
         self._count += 1
         tick = due_us >> TICK_BITS
         if tick <= self._current_tick:
-            heappush(self._due_heap, (due_us, number, timer))
+            heappush(self._due_heap, (due_us, sequence, timer))
         else:
             self._next_occupied_tick = min(self._next_occupied_tick, self._insert(timer))
         return timer
 
     def cancel(self, timer: Timer) -> bool:
-        """Forget the timer and all that it refers to. False if it was fired or cancelled before."""
+        """Drop the timer and its callback. False if it has fired or was cancelled before."""
         if timer.callback is None:
             return False
         timer.callback = None
@@ -83,38 +85,40 @@
         if timer.slot is not None:
             del timer.slot[timer.sequence]
             timer.slot = None
-        elif len(self._due_heap) > 64 and len(self._due_heap) > 2 * self._count:
+        elif len(self._due_heap) > MIN_COMPACTION_ENTRIES and len(self._due_heap) > 2 * self._count:
             self._due_heap = [entry for entry in self._due_heap if entry[2].callback is not None]
-            self._due_heap.sort()  # a sorted list is a heap
+            self._due_heap.sort()  # a sorted list is a valid heap
         return True
 
     def pop_due(self, until_us: int, max_sequence: int | None = None) -> Callable[[], None] | None:
-        """What is due next by `until_us`, in order of time, then of setting; None where nothing is.
+        """Remove and return the next callback due by `until_us`, ordered by time, then by scheduling order;
+        None if there is none.
 
-        With `last` only what was set up to that number: what a firing timer sets for the same time waits.
+        With `max_sequence`, only timers scheduled up to that number are returned, so that one scheduled by
+        a firing timer for the same time waits for the next call.
         """
-        near = self._due_heap
+        heap = self._due_heap
         while True:
-            while near and near[0][2].callback is None:
-                heappop(near)
-            if near and near[0][0] <= until_us:
-                if max_sequence is not None and near[0][1] > max_sequence:
+            while heap and heap[0][2].callback is None:
+                heappop(heap)
+            if heap and heap[0][0] <= until_us:
+                if max_sequence is not None and heap[0][1] > max_sequence:
                     return None
-                timer = heappop(near)[2]
-                then, timer.callback = timer.callback, None
+                timer = heappop(heap)[2]
+                callback, timer.callback = timer.callback, None
                 self._count -= 1
-                return then
+                return callback
             if (
-                near
+                heap
                 or until_us >> TICK_BITS < self._next_occupied_tick
                 or not self._advance(until_us >> TICK_BITS)
             ):
                 return None
-            near = self._due_heap
+            heap = self._due_heap
 
     def next_due_us(self) -> int | None:
-        """No timer is due before this time; None while none is set. Exact within the current tick, else the
-        start of a slot: whoever sleeps until then and pops loses nothing."""
+        """A time before which no timer is due; None if no timer is pending. Exact within the current tick,
+        else the start of a slot: a caller that sleeps until then and calls `pop_due` misses no timer."""
         while self._due_heap and self._due_heap[0][2].callback is None:
             heappop(self._due_heap)
         if self._due_heap:
@@ -124,44 +128,45 @@
         level, tick = found
         if level:
             return tick << TICK_BITS
-        home = self._levels[0][tick & SLOT_MASK]
-        assert home
-        return min(timer.due_us for timer in home.values())
+        timers = self._levels[0][tick & SLOT_MASK]
+        assert timers
+        return min(timer.due_us for timer in timers.values())
 
     # --- Slots.
 
     def _insert(self, timer: Timer) -> int:
-        """Put the timer into its slot; the slot's first tick."""
+        """Put the timer into its slot; returns the first tick of the slot."""
         tick = timer.due_us >> TICK_BITS
-        # The highest bit in which the two differ says on which level they part.
+        # The highest bit in which the two ticks differ gives the level.
         level = min(LEVELS - 1, ((tick ^ self._current_tick).bit_length() - 1) // SLOT_BITS)
         slot = (tick >> level * SLOT_BITS) & SLOT_MASK
-        home = self._levels[level][slot]
-        if home is None:
-            home = self._levels[level][slot] = {}
+        timers = self._levels[level][slot]
+        if timers is None:
+            timers = self._levels[level][slot] = {}
         self._occupied[level] |= 1 << slot
-        home[timer.sequence] = timer
-        timer.slot = home
+        timers[timer.sequence] = timer
+        timer.slot = timers
         return tick >> level * SLOT_BITS << level * SLOT_BITS
 
     def _first_occupied(self) -> tuple[int, int] | None:
-        """Level and first tick of the next slot that holds a timer. Lower levels come first: what hangs on a
-        level lies within the current slot of the one above."""
+        """Level and first tick of the next slot that holds a timer. Lower levels come first, because all
+        timers of a level lie within the current slot of the level above."""
         for level in range(LEVELS):
             slots, shift = self._levels[level], level * SLOT_BITS
-            while filled := self._occupied[level]:
-                slot = (filled & -filled).bit_length() - 1
+            while occupied := self._occupied[level]:
+                slot = (occupied & -occupied).bit_length() - 1
                 if slots[slot]:
-                    return level, (self._current_tick >> shift + SLOT_BITS << shift + SLOT_BITS) + (
-                        slot << shift
+                    return (
+                        level,
+                        (self._current_tick >> shift + SLOT_BITS << shift + SLOT_BITS) + (slot << shift),
                     )
-                slots[slot] = None  # all were cancelled
-                self._occupied[level] = filled & filled - 1
+                slots[slot] = None  # all its timers were cancelled
+                self._occupied[level] = occupied & occupied - 1
         return None
 
     def _advance(self, until_tick: int) -> bool:
-        """Move on to the next tick that holds timers, at most to `until_tick`, and bring those near. False if
-        there is none by then."""
+        """Move on to the next tick that holds timers, at most to `until_tick`, and put its timers into the
+        heap. False if there are none by then."""
         while (found := self._first_occupied()) is not None:
             level, tick = found
             if tick > until_tick:
@@ -169,28 +174,28 @@
                 break
             self._current_tick = tick
             slot = (tick >> level * SLOT_BITS) & SLOT_MASK
-            home = self._levels[level][slot]
-            assert home is not None
+            timers = self._levels[level][slot]
+            assert timers is not None
             self._levels[level][slot] = None
             self._occupied[level] &= ~(1 << slot)
             if level == 0:
-                near = self._due_heap  # empty here, but for what was cancelled
-                near += [(timer.due_us, number, timer) for number, timer in home.items()]
-                near.sort()
-                for timer in home.values():
+                heap = self._due_heap  # holds only cancelled entries here
+                heap += [(timer.due_us, sequence, timer) for sequence, timer in timers.items()]
+                heap.sort()
+                for timer in timers.values():
                     timer.slot = None
                 return True
-            for number, timer in home.items():
+            for sequence, timer in timers.items():
                 if timer.due_us >> TICK_BITS <= tick:
                     timer.slot = None
-                    heappush(self._due_heap, (timer.due_us, number, timer))
+                    heappush(self._due_heap, (timer.due_us, sequence, timer))
                 else:
                     self._insert(timer)
             if self._due_heap:
                 return True
         else:
-            self._next_occupied_tick = 1 << 62
-        # Time has passed with nothing due. The current tick may move up to the next slot that holds something
-        # only where no slot is skipped, which the loop above has seen to.
+            self._next_occupied_tick = NO_OCCUPIED_TICK
+        # Nothing was due up to `until_tick`. The current tick may move there only because the loop above has
+        # checked that no occupied slot lies in between.
         self._current_tick = max(self._current_tick, until_tick)
         return False
--- a/whintrail/subset/__init__.py
+++ b/whintrail/subset/__init__.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting: each gateway keeps a part of the engines (`docs/subset.md`).
+"""Deterministic subsetting: each gateway keeps a subset of the engines (`docs/subset.md`).
 
-Pure: tables by hash and deltas of a list; nothing here decides on a query.
+Pure: computes the subset from hashes and from deltas of the engine list; no routing decisions are made here.
 """
--- a/whintrail/versions/__init__.py
+++ b/whintrail/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Settings with versions on which the gateways agree. Pure."""
+"""Config versions: settings that the gateways activate in two steps under leases. Pure."""
--- a/whintrail/versions/leader.py
+++ b/whintrail/versions/leader.py
@@ -1,6 +1,8 @@
-"""What the leader does with versions: leases, and when a proposal enters, settles or is dropped. Sans-I/O.
+"""The leader's side of config versions: grants leases and decides when a proposal enters, settles or is
+dropped. Sans-I/O.
 
-A new leader knows of no lease that another gave; it lets the time of one pass before anything is settled.
+A new leader does not know the leases that a previous leader granted, so it lets the duration of one pass
+before it settles anything.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -10,7 +12,9 @@
 from whintrail.fleet.wire import LeaseReply, LeaseRequest
 from whintrail.versions.member import VersionTiming
 
-REPORT_FRESH_US = 1_500_000
+REPORT_FRESH_US = 1_500_000  # an older report of a member does not count
+MAX_REASON_CHARS = 64
+MAX_NAMED_MEMBERS = 6  # in the reason for a drop
 
 
 @dataclass(slots=True)
@@ -24,7 +28,7 @@
     def __init__(self, now: int, timing: VersionTiming) -> None:
         self.started_at, self.timing = now, timing
         self.reports: dict[int, MemberReport] = {}
-        self.phase_started_at = now  # when this leader first saw the phase that is on
+        self.phase_started_at = now  # when this leader first saw the current phase
         self.observed_phase: tuple[int, int, bool] = (0, 0, False)
 
     def grant_lease(
@@ -36,8 +40,8 @@
         versions: VersionState,
         leadership_confirmed: bool,
     ) -> LeaseReply | None:
-        """`sure`: nobody else can lead at this moment. A lease that another leader's word contradicts would
-        be worth nothing."""
+        """Record the member's report and grant its lease. `leadership_confirmed`: no other gateway can be
+        leader now. Without that no lease is granted, since another leader could grant a conflicting one."""
         self.reports[origin] = MemberReport(now, boot_id, request)
         if not leadership_confirmed:
             return None
@@ -49,26 +53,27 @@
             self.observed_phase, self.phase_started_at = phase, now
 
     def unready_members(
-        self, now: int, versions: VersionState, alive: Iterable[int], birth_of: Callable[[int], int]
+        self, now: int, versions: VersionState, alive: Iterable[int], boot_id_of: Callable[[int], int]
     ) -> list[int]:
-        """Members that are there and have not said whether they can act on the proposal, or do act on it."""
+        """Alive members that have not reported whether they can apply the proposal, or once it is entering,
+        that they apply it."""
         version = versions.next
         assert version is not None
-        left = []
+        unready = []
         for number in alive:
-            heard = self.reports.get(number)
+            report = self.reports.get(number)
             if (
-                heard is None
-                or now - heard.received_at > REPORT_FRESH_US
-                or heard.boot_id != birth_of(number)
+                report is None
+                or now - report.received_at > REPORT_FRESH_US
+                or report.boot_id != boot_id_of(number)
             ):
-                left.append(number)
+                unready.append(number)
             elif versions.entering:
-                if not (heard.request.entering and heard.request.number == versions.number):
-                    left.append(number)
-            elif heard.request.next_digest != version.digest:
-                left.append(number)
-        return left
+                if not (report.request.entering and report.request.number == versions.number):
+                    unready.append(number)
+            elif report.request.next_digest != version.digest:
+                unready.append(number)
+        return unready
 
     def tick(
         self,
@@ -76,26 +81,27 @@
         versions: VersionState,
         alive: Sequence[int],
         member_count: int,
-        birth_of: Callable[[int], int],
+        boot_id_of: Callable[[int], int],
     ) -> EnterVersion | DropVersion | SettleVersion | None:
+        """The next command to propose, if it is time for one."""
         self._track_phase(now, versions)
         version = versions.next
         if version is None:
             return None
-        waiting = self.unready_members(now, versions, alive, birth_of)
+        unready = self.unready_members(now, versions, alive, boot_id_of)
         if versions.entering:
-            everybody = not waiting and len(alive) == member_count
-            # Leases on what was before: none is given since, and those given then have run out.
-            over = now - self.phase_started_at > self.timing.max_divergence_us
-            return SettleVersion(version.number) if everybody or over else None
+            all_ready = not unready and len(alive) == member_count
+            # No lease on the previous phase was granted since this one began; by then all have expired.
+            leases_expired = now - self.phase_started_at > self.timing.max_divergence_us
+            return SettleVersion(version.number) if all_ready or leases_expired else None
         for number in sorted(self.reports):
-            heard = self.reports[number]
-            fresh = now - heard.received_at <= REPORT_FRESH_US and heard.boot_id == birth_of(number)
-            if fresh and heard.request.next_digest == version.digest and heard.request.veto:
-                return DropVersion(version.number, f"n{number}: {heard.request.veto}"[:64])
-        if not waiting:
+            report = self.reports[number]
+            fresh = now - report.received_at <= REPORT_FRESH_US and report.boot_id == boot_id_of(number)
+            if fresh and report.request.next_digest == version.digest and report.request.veto:
+                return DropVersion(version.number, f"n{number}: {report.request.veto}"[:MAX_REASON_CHARS])
+        if not unready:
             return EnterVersion(version.number)
         if now - self.phase_started_at > self.timing.check_timeout_us:
-            names = ", ".join(f"n{number}" for number in waiting[:6])
-            return DropVersion(version.number, f"no word of {names}"[:64])
+            names = ", ".join(f"n{number}" for number in unready[:MAX_NAMED_MEMBERS])
+            return DropVersion(version.number, f"no word of {names}"[:MAX_REASON_CHARS])
         return None
--- a/whintrail/versions/rules.py
+++ b/whintrail/versions/rules.py
@@ -1,8 +1,9 @@
-"""What a version holds: the operator's rules that bear on decisions, and their order of strictness.
+"""The content of a config version: the operator's rules for routing decisions, ordered by strictness.
 
-Each setting has a meet: the stricter of two values. Of two bodies it is taken setting by setting, so it is
-commutative, associative and idempotent, as each of its parts is. A setting without an order (an assignment)
-gets one by a value stricter than all: for who takes the loads of a group of tables, nobody.
+For each setting a meet is defined: the stricter of two values. The meet of two sets of rules is taken setting
+by setting, so it is commutative, associative and idempotent like that of each setting. A setting without a
+natural order (an assignment) gets one by a value that is stricter than all others: for the gateway that takes
+the loads of a table group, no gateway at all.
 """
 
 from collections.abc import Iterator, Mapping
@@ -12,8 +13,8 @@
 import msgspec
 from msgspec import Meta
 
-MAX_RULES_BYTES = 65_536  # of a body as it travels
-NO_GATEWAY = -1  # a group of tables whose loads no gateway takes
+MAX_RULES_BYTES = 65_536  # encoded
+NO_GATEWAY = -1  # no gateway takes the loads of the table group
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
@@ -23,32 +24,32 @@
 
 
 class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Absent means: anything goes. What only concerns one process (log, sockets, store) is no part of it."""
+    """An absent setting restricts nothing. Settings of one process (log, sockets, store) are not rules."""
 
-    shut: tuple[Name, ...] = ()  # engines to which nothing new goes
-    paused: tuple[Name, ...] = ()  # classes of which nothing new is taken
-    caps: dict[Name, Count] = {}  # queries of a class in hand at one gateway, at most
-    wait_ms: dict[Name, Annotated[int, Meta(ge=1, le=86_400_000)]] = {}  # a class's longest time, at most
-    homes: dict[Group, GatewayNumber] = {}  # the gateway that takes the loads of a group of tables, alone
-    council: tuple[Annotated[int, Meta(ge=0, le=0xFFFF)], ...] = ()  # of the fleet; it has no order
+    shut: tuple[Name, ...] = ()  # engines that get no new attempts
+    paused: tuple[Name, ...] = ()  # classes of which no new query is accepted
+    caps: dict[Name, Count] = {}  # maximum of open queries of a class per gateway
+    wait_ms: dict[Name, Annotated[int, Meta(ge=1, le=86_400_000)]] = {}  # maximum time of a query by class
+    homes: dict[Group, GatewayNumber] = {}  # the only gateway that takes the loads of a table group
+    council: tuple[Annotated[int, Meta(ge=0, le=0xFFFF)], ...] = ()  # the fleet's voters; has no order
 
 
 class RulesError(ValueError):
-    """The body can't be used, or can't follow on another; the text names the place and the reason."""
+    """The rules are invalid or can't follow others; the text names the path and the reason."""
 
 
 def parse_rules(data: Any) -> Rules:
-    """From plain values, as a file gives them. Errors: BodyError."""
+    """Validate plain values, as a file holds them. Errors: RulesError."""
     try:
-        body: Rules = msgspec.convert(data, Rules)
+        rules: Rules = msgspec.convert(data, Rules)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at ")
         raise RulesError(f"{place.strip('`') or '$'}: {reason}") from error
-    return canonicalize(body)
+    return canonicalize(rules)
 
 
 def canonicalize(rules: Rules) -> Rules:
-    """Lists without order are sorted and told once; equal rules are equal bodies."""
+    """Sort unordered lists and remove duplicates, so that equivalent rules compare and encode equally."""
     return Rules(
         shut=tuple(sorted(set(rules.shut))),
         paused=tuple(sorted(set(rules.paused))),
@@ -64,7 +65,7 @@
 
 
 def encode(rules: Rules) -> bytes:
-    """Canonical bytes. Errors: BodyError where they are too many."""
+    """Canonical bytes. Errors: RulesError if they are too many."""
     data = _encoder.encode(canonicalize(rules))
     if len(data) > MAX_RULES_BYTES:
         raise RulesError(f"$: {len(data)} bytes, {MAX_RULES_BYTES} at most")
@@ -72,18 +73,18 @@
 
 
 def decode(data: bytes) -> Rules:
-    """Errors: BodyError, for bytes that are not canonical too: one body has one digest."""
+    """Errors: RulesError, also for bytes that are not canonical, so that equal rules have one digest."""
     try:
-        body = _decoder.decode(data)
+        rules = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise RulesError(f"$: {error}") from error
-    if encode(body) != data:
+    if encode(rules) != data:
         raise RulesError("$: not in canonical form")
-    return body
+    return rules
 
 
 def digest(data: bytes) -> int:
-    """Of canonical bytes; 63 bits, never 0."""
+    """Digest of canonical bytes; 63 bits, never 0."""
     return int.from_bytes(blake2b(data, digest_size=8).digest(), "big") >> 1 or 1
 
 
@@ -95,15 +96,15 @@
 
 
 def _merge_homes(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
-    """Who serves nowhere else is stricter than anybody; two who contradict leave nobody."""
-    found = dict(a)
+    """A named gateway is stricter than none named; two different ones merge to NO_GATEWAY."""
+    merged = dict(a)
     for group, home in b.items():
-        found[group] = home if found.get(group, home) == home else NO_GATEWAY
-    return found
+        merged[group] = home if merged.get(group, home) == home else NO_GATEWAY
+    return merged
 
 
 def merge_strict(a: Rules, b: Rules) -> Rules:
-    """The stricter of both in each setting. Errors: BodyError where a setting has no order."""
+    """The stricter value of each setting. Errors: RulesError for a setting without an order."""
     if a.council != b.council and a.council and b.council:
         raise RulesError("$.council: it has no order, so no version lies between two of them")
     return canonicalize(
@@ -127,25 +128,25 @@
 
 
 def transition_rules(a: Rules, b: Rules) -> Rules:
-    """What is in force on the way from one version to the next: it allows only what both allow, so who still
-    acts on the one, and who acts on the other, never allows what is refused here without a way to both.
-    Errors: BodyError with the place and the reason, where there is none."""
-    found = merge_strict(a, b)
-    encode(found)  # it has to travel as well
-    return found
+    """The rules in force while one version replaces another: they allow only what both versions allow,
+    so nothing that a gateway allows by them is refused by the old version or by the new one.
+    Errors: RulesError with the path and the reason if there are no such rules."""
+    merged = merge_strict(a, b)
+    encode(merged)  # its size is limited as well
+    return merged
 
 
 def differences(a: Rules, b: Rules) -> Iterator[tuple[str, object, object]]:
-    """Where two bodies differ: path, before, after."""
+    """Where two sets of rules differ: path, value before, value after."""
     for name in ("shut", "paused"):
         before, after = set(getattr(a, name)), set(getattr(b, name))
         for item in sorted(before ^ after):
             yield f"$.{name}.{item}", item in before, item in after
     for name in ("caps", "wait_ms", "homes"):
-        one, other = getattr(a, name), getattr(b, name)
-        for key in sorted({**one, **other}):
-            if one.get(key) != other.get(key):
-                yield f"$.{name}.{key}", one.get(key), other.get(key)
+        first, second = getattr(a, name), getattr(b, name)
+        for key in sorted({**first, **second}):
+            if first.get(key) != second.get(key):
+                yield f"$.{name}.{key}", first.get(key), second.get(key)
     if a.council != b.council:
         yield "$.council", list(a.council), list(b.council)
 
@@ -156,7 +157,7 @@
 
 
 def find_unsupported(rules: Rules, classes: frozenset[str], gateway_count: int) -> str:
-    """Why a gateway can't act on it; empty where it can."""
+    """Why a gateway can't apply the rules; empty if it can."""
     for name in ("paused", "caps", "wait_ms"):
         for key in getattr(rules, name):
             if key not in classes:
--- a/whintrail/versions/service.py
+++ b/whintrail/versions/service.py
@@ -1,4 +1,5 @@
-"""The versions' part of a fleet's node: member, guide where this process leads, and lists. Sans-I/O."""
+"""Config versions on a fleet node: the member's side, the leader's side while this process leads, and the
+comparison of engine lists. Sans-I/O."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -20,7 +21,10 @@
 from whintrail.versions.leader import VersionLeader
 from whintrail.versions.member import RulesCheck, VersionMember, VersionTiming
 
-LIST_DIGEST_FANOUT, LIST_DIGEST_INTERVAL_US, NAMES_PER_MESSAGE, MAX_NAMES_SENT = 2, 1_000_000, 3, 64
+LIST_DIGEST_FANOUT = 2  # members that get a list summary at a time
+LIST_DIGEST_INTERVAL_US = 1_000_000
+NAMES_PER_MESSAGE = 3
+MAX_NAMES_SENT = 64
 Send = Callable[[int | None, AnyMessage], None]
 
 
@@ -34,13 +38,8 @@
         members: Membership,
         send: Send,
     ) -> None:
-        self.timing, self.local_number, self.random, self.members, self.send = (
-            timing,
-            local_number,
-            random,
-            members,
-            send,
-        )
+        self.timing, self.local_number, self.random = timing, local_number, random
+        self.members, self.send = members, send
         self.member = VersionMember(random, check_rules, timing)
         self.engine_list = EngineListState(timing.list_silence_timeout_us)
         self.leader: VersionLeader | None = None
@@ -54,25 +53,25 @@
     def alive_members(self) -> Sequence[int]:
         return self.members.by_state[MemberState.ALIVE]
 
-    def birth_of(self, number: int) -> int:
+    def boot_id_of(self, number: int) -> int:
         return self.members.members[number].boot_id
 
     def unready_members(self, now: int) -> list[int]:
-        """On the leader: whom a proposal waits for."""
+        """On the leader: the members for which a proposal waits."""
         if self.leader is None or self.committed.next is None:
             return []
-        return self.leader.unready_members(now, self.committed, self.alive_members(), self.birth_of)
+        return self.leader.unready_members(now, self.committed, self.alive_members(), self.boot_id_of)
 
     def handle_message(self, now: int, origin: int, boot_id: int, message: AnyMessage) -> None:
         match message:
             case LeaseRequest():
                 if self.leader is not None and self.consensus is not None:
-                    sure = self.consensus.has_leader_lease(now)
-                    tell = self.leader.grant_lease(now, origin, boot_id, message, self.committed, sure)
-                    if tell is not None and origin == self.local_number:
-                        self.member.apply_lease(now, tell, self.committed)
-                    elif tell is not None:
-                        self.send(origin, tell)
+                    confirmed = self.consensus.has_leader_lease(now)
+                    reply = self.leader.grant_lease(now, origin, boot_id, message, self.committed, confirmed)
+                    if reply is not None and origin == self.local_number:
+                        self.member.apply_lease(now, reply, self.committed)
+                    elif reply is not None:
+                        self.send(origin, reply)
             case LeaseReply():
                 self.member.apply_lease(now, message, self.committed)
             case BodyRequest():
@@ -91,33 +90,33 @@
 
     def _send_departing_engines(self, origin: int) -> None:
         names = self.engine_list.departing_engines()[:MAX_NAMES_SENT]
-        for place in range(0, len(names), NAMES_PER_MESSAGE):
+        for first in range(0, len(names), NAMES_PER_MESSAGE):
             self.send(
                 origin,
-                ListExclusions(self.engine_list.generation, tuple(names[place : place + NAMES_PER_MESSAGE])),
+                ListExclusions(self.engine_list.generation, tuple(names[first : first + NAMES_PER_MESSAGE])),
             )
 
     def tick(self, now: int, committed: VersionState, leader_number: int | None) -> None:
-        """`target` leads, as far as it is known."""
+        """`leader_number`: the current leader, if it is known."""
         self.committed = committed
         member = self.member
         member.fetch_missing(committed)
         if member.store.fetching:
-            for of, pull in member.due_pulls(now, self.members.alive_peers()):
-                self.send(of, pull)
+            for source, pull in member.due_pulls(now, self.members.alive_peers()):
+                self.send(source, pull)
         if now >= self.next_list_digest_at and self.engine_list.generation:
             self.next_list_digest_at = now + LIST_DIGEST_INTERVAL_US
-            note = ListSummary(self.engine_list.generation, self.engine_list.digest)
-            others = self.members.alive_peers()
-            for other in self.random.sample(others, min(LIST_DIGEST_FANOUT, len(others))):
-                self.send(other, note)
-        if leader_number is not None and (ask := member.lease_request(now, committed)) is not None:
+            summary = ListSummary(self.engine_list.generation, self.engine_list.digest)
+            peers = self.members.alive_peers()
+            for peer in self.random.sample(peers, min(LIST_DIGEST_FANOUT, len(peers))):
+                self.send(peer, summary)
+        if leader_number is not None and (request := member.lease_request(now, committed)) is not None:
             if leader_number == self.local_number:
-                self.handle_message(now, leader_number, self.birth_of(leader_number), ask)
+                self.handle_message(now, leader_number, self.boot_id_of(leader_number), request)
             else:
-                self.send(leader_number, ask)
+                self.send(leader_number, request)
         if self.leader is not None and self.consensus is not None and not self.consensus.uncommitted:
-            count = len(self.members.members)
-            command = self.leader.tick(now, committed, self.alive_members(), count, self.birth_of)
+            member_count = len(self.members.members)
+            command = self.leader.tick(now, committed, self.alive_members(), member_count, self.boot_id_of)
             if command is not None:
                 self.consensus.propose(now, command)
