--- a/whintrail/cli/timeline.py
+++ b/whintrail/cli/timeline.py
@@ -1,4 +1,4 @@
-"""`whintrail timeline`: what engines went through, from a running gateway or from its store."""
+"""`whintrail timeline`: the history of engines, from a running gateway or from its store."""
 
 import re
 import sys
@@ -19,6 +19,8 @@
 
 UNIT_SECONDS = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
 ROLLUP_LEVELS = {"raw": None, "1s": 0, "10s": 1, "1m": 2}
+REQUEST_TIMEOUT_S = 10.0
+NO_END_US = 1 << 62  # later than any event
 EVENT_COLUMNS = ["time", "engine", "kind", "what"]
 ROLLUP_COLUMNS = [
     "time",
@@ -60,21 +62,22 @@
 
 
 def request_rows(path: str, **request: Any) -> Iterator[dict[str, Any]]:
-    """Rows from the live view. Errors: ClickException."""
+    """Rows of the live view of a running gateway. Errors: ClickException."""
     try:
-        yield from send_request(path, request, None if request.get("follow") else 10.0)
+        yield from send_request(path, request, None if request.get("follow") else REQUEST_TIMEOUT_S)
     except ControlError as error:
         raise click.ClickException(str(error)) from error
 
 
 def open_store(directory: str) -> Reader:
     reader = Reader.open(directory)
-    for why in reader.skipped:
-        click.echo(f"whintrail: skipped {why}", err=True)
+    for reason in reader.skipped:
+        click.echo(f"whintrail: skipped {reason}", err=True)
     return reader
 
 
 def require_one_source(store: str | None, path: str | None) -> None:
+    """Errors: UsageError unless exactly one is given."""
     if (store is None) == (path is None):
         raise click.UsageError("name one source: --store DIRECTORY or --socket PATH")
 
@@ -82,12 +85,12 @@
 store_option = click.option("--store", type=click.Path(file_okay=False), help="The store's directory.")
 socket_option = click.option("--socket", "path", type=click.Path(), help="A running gateway's live view.")
 since_option = click.option("--since", type=Time(), default=0, help="10m, an ISO time, Unix seconds.")
-until_option = click.option("--until", type=Time(), default=1 << 62)
+until_option = click.option("--until", type=Time(), default=NO_END_US)
 
 
 @click.group()
 def timeline() -> None:
-    """What each engine went through.
+    """The history of each engine.
 
     \b
     Examples:
@@ -106,7 +109,7 @@
 @since_option
 @until_option
 @click.option("--level", type=click.Choice(list(ROLLUP_LEVELS)), default="raw", show_default=True)
-@click.option("--limit", type=click.IntRange(1), help="The last so many rows only.")
+@click.option("--limit", type=click.IntRange(1), help="Print only the last rows, this many.")
 @format_option
 def show(
     engine: str | None,
@@ -148,8 +151,8 @@
             else:
                 if ROLLUP_LEVELS[level] == 0:
                     raise click.UsageError("the store keeps raw events and roll-ups of 10s and 1m")
-                found = reader.rollups(engine, ROLLUP_LEVELS[level] or 0, since, until)
-                rows = add_time_column(bucket.summary() for bucket in found)
+                buckets = reader.rollups(engine, ROLLUP_LEVELS[level] or 0, since, until)
+                rows = add_time_column(bucket.summary() for bucket in buckets)
             count = print_rows(last_rows(rows, limit), columns, form)
     if not count:
         click.echo(f"whintrail: nothing about {engine} in that time", err=True)
@@ -180,7 +183,7 @@
 
 
 def detection_rows(rows: Any, form: str) -> Iterator[dict[str, Any]]:
-    """Happenings as rows; in a table the evidence is one cell."""
+    """Detections as rows; in a table the evidence is one cell."""
     for row in rows:
         if "missed" in row:
             click.echo(f"whintrail: {row['missed']} events missed: this reader was too slow", err=True)
@@ -197,12 +200,12 @@
 @socket_option
 @since_option
 @until_option
-@click.option("--follow", is_flag=True, help="Go on with what comes (live view only).")
+@click.option("--follow", is_flag=True, help="Continue with new events (live view only).")
 @format_option
 def events(
     engine: str | None, store: str | None, path: str | None, since: int, until: int, follow: bool, form: str
 ) -> int:
-    """What was out of the usual: stalled, slow, failing, flapping, cold again, and the ends.
+    """Detected behaviour: stalled, slow, failing, flapping, cold again, and when each ended.
 
     \b
     Example:
@@ -225,8 +228,8 @@
         raise click.UsageError("--follow needs --socket")
     assert store is not None
     with open_store(store) as reader:
-        found = (detection_row(happening) for happening in reader.detections(engine, since, until))
-        print_rows(detection_rows(found, form), DETECTION_COLUMNS, form)
+        detections = (detection_row(detection) for detection in reader.detections(engine, since, until))
+        print_rows(detection_rows(detections, form), DETECTION_COLUMNS, form)
     return 0
 
 
@@ -237,7 +240,7 @@
 @until_option
 @click.option("--form", type=click.Choice(["jsonl", "csv"]), default="jsonl", show_default=True)
 def export(engine: str | None, store: str, since: int, until: int, form: str) -> int:
-    """Raw events with their codes and figures, for other programs.
+    """Raw events with their codes and values, for other programs.
 
     \b
     Example:
@@ -275,7 +278,7 @@
 @until_option
 @click.option("--out", type=click.Path(dir_okay=False), required=True, help="A .png or .svg file.")
 def plot(store: str, engines: tuple[str, ...], since: int, until: int, out: str) -> int:
-    """Draw an incident: a lane an engine, with load, latency bands, sends, errors and events.
+    """Draw an incident: one lane per engine, with load, latency bands, sends, errors and events.
 
     \b
     Example:
@@ -288,10 +291,10 @@
     except ModuleNotFoundError as error:
         raise click.ClickException(f"plot needs {error.name}: install requirements-plot.txt") from error
     with open_store(store) as reader:
-        drawn = draw_incident(reader, list(engines), since, until, out)
-    if not drawn:
+        drawn_count = draw_incident(reader, list(engines), since, until, out)
+    if not drawn_count:
         raise click.ClickException("nothing to draw in that time")
-    click.echo(f"{out}: {drawn} engines")
+    click.echo(f"{out}: {drawn_count} engines")
     return 0
 
 
@@ -299,20 +302,20 @@
 @click.option("--store", type=click.Path(file_okay=False), required=True)
 @format_option
 def verify(store: str, form: str) -> int:
-    """Look at every byte: frames, checksums, torn tails, indexes. Status 1 where something is lost.
+    """Check every byte: frames, checksums, torn tails, indexes. Status 1 if anything is lost.
 
     \b
     Example:
       whintrail timeline verify --store DIR
     """
-    reader, bad = Reader(Path(store)), 0
+    reader, damaged_count = Reader(Path(store)), 0
     rows = []
     for report in reader.verify():
-        bad += bool(report.fault or report.damaged or report.index not in ("sound", "none"))
+        damaged_count += bool(report.fault or report.damaged or report.index not in ("sound", "none"))
         rows.append({name: getattr(report, name) for name in report.__slots__})
     print_rows(
         rows,
         ["name", "bytes", "frames", "events", "engines", "damaged", "lost_bytes", "torn", "index", "fault"],
         form,
     )
-    return 1 if bad else 0
+    return 1 if damaged_count else 0
