--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,8 +1,8 @@
 """The timing wheel against a heap: python -m benchmarks.timers [--most N]
 
-Both hold N timers spread over 6 s. A set and cancel pair is what an answered query costs; the heap can't
-cancel, so it is given the usual stand-in for it (an entry marked dead, popped when it falls due). Ratios are
-paired: wheel and heap take turns within one run, the median of the pairs is printed.
+Both hold N timers spread over 6 s. An answered query costs one schedule and one cancel. The heap can't
+cancel, so it marks the entry as dead and pops it when it is due, as is usual. Wheel and heap take turns
+within one run; the median of the ratios of each pair is printed.
 """
 
 import argparse
@@ -16,10 +16,11 @@
 
 from whintrail.structures.wheel import TimingWheel
 
-START, SPAN = 1_790_000_000_000_000, 6_000_000
+START_US = 1_790_000_000_000_000
+SPAN_US = 6_000_000
 
 
-def nothing() -> None:
+def do_nothing() -> None:
     pass
 
 
@@ -28,57 +29,64 @@
         self.entries: list[tuple[int, int, list[Callable[[], None] | None]]] = []
         self.last_sequence = 0
 
-    def schedule(self, when: int, then: Callable[[], None]) -> list[Callable[[], None] | None]:
+    def schedule(self, due_us: int, callback: Callable[[], None]) -> list[Callable[[], None] | None]:
         self.last_sequence += 1
-        box: list[Callable[[], None] | None] = [then]
-        heappush(self.entries, (when, self.last_sequence, box))
-        return box
+        entry: list[Callable[[], None] | None] = [callback]
+        heappush(self.entries, (due_us, self.last_sequence, entry))
+        return entry
 
-    def cancel(self, box: list[Callable[[], None] | None]) -> None:
-        box[0] = None
+    def cancel(self, entry: list[Callable[[], None] | None]) -> None:
+        entry[0] = None
 
-    def pop_due(self, until: int) -> Callable[[], None] | None:
-        while self.entries and self.entries[0][0] <= until:
-            if (then := heappop(self.entries)[2][0]) is not None:
-                return then
+    def pop_due(self, until_us: int) -> Callable[[], None] | None:
+        while self.entries and self.entries[0][0] <= until_us:
+            if (callback := heappop(self.entries)[2][0]) is not None:
+                return callback
         return None
 
 
 def run(
-    make: Callable[[], TimingWheel | Heap], whens: list[int], extra: list[int]
+    make: Callable[[], TimingWheel | Heap], due_times: list[int], extra_due_times: list[int]
 ) -> tuple[float, float, float]:
-    """Seconds a set, a cancel and a fire, with len(whens) timers held."""
+    """Seconds per schedule, cancel and firing, with len(due_times) timers held."""
     timers = make()
-    for when in whens:
-        timers.schedule(when, nothing)
+    for due_us in due_times:
+        timers.schedule(due_us, do_nothing)
     start = perf_counter()
-    made = [timers.schedule(when, nothing) for when in extra]
-    set_s = (perf_counter() - start) / len(extra)
+    extra_timers = [timers.schedule(due_us, do_nothing) for due_us in extra_due_times]
+    set_s = (perf_counter() - start) / len(extra_due_times)
     start = perf_counter()
-    for timer in made:
+    for timer in extra_timers:
         timers.cancel(timer)  # type: ignore[arg-type]
-    cancel_s = (perf_counter() - start) / len(extra)
+    cancel_s = (perf_counter() - start) / len(extra_due_times)
     start, fired = perf_counter(), 0
-    for until in range(START, START + SPAN + 1001, 1000):
-        while timers.pop_due(until) is not None:
+    for until_us in range(START_US, START_US + SPAN_US + 1001, 1000):
+        while timers.pop_due(until_us) is not None:
             fired += 1
-    assert fired == len(whens), (fired, len(whens))
+    assert fired == len(due_times), (fired, len(due_times))
     return set_s, cancel_s, (perf_counter() - start) / fired
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=1_000_000)
-    most = parser.parse_args().most
-    rng, size = random.Random(1), 100
+    max_timers = parser.parse_args().most
+    random_source, size = random.Random(1), 100
     print("timers   |  set us wheel heap ratio | cancel us wheel heap ratio | fire us wheel heap ratio")
-    while size <= most:
+    while size <= max_timers:
         rounds = 9 if size < 100_000 else 3
         pairs = []
         for _ in range(rounds):
-            whens = [START + rng.randrange(SPAN) for _ in range(size)]
-            extra = [START + rng.randrange(SPAN) for _ in range(max(1000, size // 10))]
-            pairs.append((run(lambda: TimingWheel(START), whens, extra), run(Heap, whens, extra)))
+            due_times = [START_US + random_source.randrange(SPAN_US) for _ in range(size)]
+            extra_due_times = [
+                START_US + random_source.randrange(SPAN_US) for _ in range(max(1000, size // 10))
+            ]
+            pairs.append(
+                (
+                    run(lambda: TimingWheel(START_US), due_times, extra_due_times),
+                    run(Heap, due_times, extra_due_times),
+                )
+            )
         columns = []
         for i in range(3):
             wheel, heap = median(a[i] for a, _ in pairs), median(b[i] for _, b in pairs)
@@ -87,12 +95,12 @@
         print(f"{size:8} | " + " | ".join(columns))
         sys.stdout.flush()
         size *= 10
-    # Memory held by timers of queries that are answered at once: 2,800 a second, 6 s to live.
-    for name, timers in (("wheel", TimingWheel(START)), ("heap", Heap())):
+    # Memory held by timers of queries that are answered at once: 2,800 per second with a deadline of 6 s.
+    for name, timers in (("wheel", TimingWheel(START_US)), ("heap", Heap())):
         tracemalloc.start()
         for number in range(2800 * 6):
-            body = bytearray(600)  # what a query holds
-            timer = timers.schedule(START + SPAN + number * 357, lambda body=body: body.clear())  # type: ignore[misc]
+            state = bytearray(600)  # stands for the state of a query
+            timer = timers.schedule(START_US + SPAN_US + number * 357, lambda state=state: state.clear())  # type: ignore[misc]
             timers.cancel(timer)  # type: ignore[arg-type]
         print(f"{name}: {tracemalloc.get_traced_memory()[0] / 1024:.0f} KiB after 16,800 answered queries")
         tracemalloc.stop()
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,9 +1,9 @@
-"""Versions of the settings at full size, simulated: python -m benchmarks.versions --gateways 200 --seeds 20
+"""Config versions at full fleet size, simulated: python -m benchmarks.versions --gateways 200 --seeds 20
 
-Each seed: two changes one after the other, so many datagrams lost, and in `faults` members stopped, killed
-and cut off across them. From outside: the longest time for which two gateways with leases acted by different
-rules, and how long a change took to be in force on all that are up. The baseline is today's way: a file and
-a SIGHUP on one gateway after another, 50 ms each.
+Each seed makes two changes one after the other, loses the given share of datagrams, and with `--faults`
+pauses, kills and partitions members during them. Measured from outside: the longest time for which two
+gateways with leases applied different rules, and the time until a change was in force on all running
+gateways. The baseline is a file and a SIGHUP on one gateway after another, 50 ms each.
 """
 
 import statistics
@@ -23,17 +23,17 @@
 from whintrail.versions.member import VersionTiming
 from whintrail.versions.rules import Rules, canonicalize
 
-PACE = VersionTiming()
+TIMING = VersionTiming()
 
 
-def in_force(world: World, body: Rules) -> bool:
+def in_force(world: World, rules: Rules) -> bool:
     for number in world.up():
-        process, settings = world.processes[number], world.node(number).settings
-        assert settings is not None and process is not None
+        process, service = world.processes[number], world.node(number).settings
+        assert service is not None and process is not None
         if world.now < process.stopped_until:
             continue
-        rule = settings.member.lease.active_version(world.clock(number))
-        if not rule.leased or rule.rules != canonicalize(body) or settings.committed.next is not None:
+        active = service.member.lease.active_version(world.clock(number))
+        if not active.leased or active.rules != canonicalize(rules) or service.committed.next is not None:
             return False
     return True
 
@@ -42,25 +42,25 @@
     return [] if (origin % 4 == zone) != (target % 4 == zone) else [0.0]
 
 
-def revive(world: World, number: int) -> None:
+def restart(world: World, number: int) -> None:
     world.start(number)
 
 
 def simulate_changes(count: int, loss: float, faults: bool, seed: int) -> dict[str, Any]:
-    began, random = time.perf_counter(), Random(seed)
+    started, random = time.perf_counter(), Random(seed)
 
-    def of(number: int, build: str) -> FleetConfig:
-        given = {"versions": PACE, "messages_per_s": 1500.0, "bytes_per_s": 400_000.0}
-        return FleetConfig("f", number, count, (0, 1, 2, 3, 4), **given)  # type: ignore[arg-type]
+    def make_node(number: int, build: str) -> FleetConfig:
+        limits = {"versions": TIMING, "messages_per_s": 1500.0, "bytes_per_s": 400_000.0}
+        return FleetConfig("f", number, count, (0, 1, 2, 3, 4), **limits)  # type: ignore[arg-type]
 
-    world = World(of, count, seed, drift=0.01)
+    world = World(make_node, count, seed, drift=0.01)
     world.run(10, lambda: world.leader() is not None)
     world.run(4)
     auditor = RuleAuditor(world)
     auditor.start()
-    sent, at = sum(world.sent_bytes.values()), world.now
+    sent, started_at = sum(world.sent_bytes.values()), world.now
     took: list[float] = []
-    for turn in range(2):
+    for step in range(2):
         world.fault = (lambda a, b, r: [] if r.random() < loss else [r.random() * 0.01]) if loss else sound
         if faults:
             zone = random.randrange(4)
@@ -70,26 +70,26 @@
                 world.stop(random.randrange(count), random.choice([1.0, 3.0, 10.0]))
             victim = random.choice([random.randrange(5), random.randrange(count)])
             world.kill(victim)
-            world.at(world.now + 1_500_000, partial(revive, world, victim))
-        body = Rules(caps={"report": turn + 5}, homes={"7": turn}, shut=(f"e{turn}",))
-        who = random.choice(world.up())
-        node = world.node(who)
+            world.at(world.now + 1_500_000, partial(restart, world, victim))
+        rules = Rules(caps={"report": step + 5}, homes={"7": step}, shut=(f"e{step}",))
+        gateway = random.choice(world.up())
+        node = world.node(gateway)
         assert node.settings is not None
-        want = VersionRequest(node.state.versions.number + 1, node.settings.member.store_rules(body), "")
-        before = world.now
-        node.submit(world.clock(who), want, 20, True)
-        if world.run(25, lambda body=body: in_force(world, body)):  # type: ignore[misc]
-            took.append((world.now - before) / 1e6)
+        request = VersionRequest(node.state.versions.number + 1, node.settings.member.store_rules(rules), "")
+        proposed_at = world.now
+        node.submit(world.clock(gateway), request, 20, True)
+        if world.run(25, lambda rules=rules: in_force(world, rules)):  # type: ignore[misc]
+            took.append((world.now - proposed_at) / 1e6)
         world.fault = sound
         world.run(6 if faults else 2)
-    spent = (sum(world.sent_bytes.values()) - sent) / count / ((world.now - at) / 1e6)
+    bytes_per_s = (sum(world.sent_bytes.values()) - sent) / count / ((world.now - started_at) / 1e6)
     return {
         "apart_s": auditor.longest_us / 1e6,
         "unleased_s": auditor.unleased_us / 1e6 / count,
         "took": took,
         "missed": 2 - len(took),
-        "bytes": spent,
-        "cpu_s": time.perf_counter() - began,
+        "bytes": bytes_per_s,
+        "cpu_s": time.perf_counter() - started,
     }
 
 
@@ -111,7 +111,7 @@
         "seeds": seeds,
         "loss": loss,
         "faults": faults,
-        "T s": PACE.max_divergence_us / 1e6,
+        "T s": TIMING.max_divergence_us / 1e6,
         "apart, longest": max(apart),
         "median": statistics.median(apart),
         "p99": quantile(apart, 0.99),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the operator's file: what they accept, and what they say of what they don't."""
+"""The command line and the operator's file: accepted input, and errors for the rest."""
 
 import json
 import subprocess
@@ -25,11 +25,14 @@
 
 def test_templates_and_plain_json_are_both_read(tmp_path: Path) -> None:
     text = "local mb = 2; { timeline: { memory_mb: mb * 2, watch: { slow_factor: 3 } } }"
-    given = read_operator_file(write(tmp_path, text))
-    assert given.timeline and (given.timeline.memory_mb, given.timeline.watch.slow_factor) == (4.0, 3.0)
+    operator_file = read_operator_file(write(tmp_path, text))
+    assert operator_file.timeline and (
+        operator_file.timeline.memory_mb,
+        operator_file.timeline.watch.slow_factor,
+    ) == (4.0, 3.0)
     assert (
         read_operator_file(write(tmp_path, '{"timeline": {"memory_mb": 4, "watch": {"slow_factor": 3}}}'))
-        == given
+        == operator_file
     )
 
 
@@ -58,10 +61,10 @@
     path = write(tmp_path, text)
     with pytest.raises(OperatorFileError) as caught:
         read_operator_file(path)
-    said = str(caught.value)
-    assert said.startswith(path) and place in said and reason in said and "\n" not in said
+    message = str(caught.value)
+    assert message.startswith(path) and place in message and reason in message and "\n" not in message
     assert main(["check", path]) == 2
-    assert capsys.readouterr().err == f"whintrail: {' '.join(said.split())}\n"
+    assert capsys.readouterr().err == f"whintrail: {' '.join(message.split())}\n"
 
 
 def test_a_file_that_is_not_there_or_endless_is_refused(tmp_path: Path) -> None:
@@ -92,14 +95,18 @@
 
 def test_serving_imports_nothing_that_it_does_not_need() -> None:
     code = "import sys, whintrail.gateway.service; print(*sys.modules)"
-    found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    loaded = {name.split(".")[0] for name in found.stdout.split()}
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    loaded = {name.split(".")[0] for name in completed.stdout.split()}
     assert not loaded & {"click", "msgspec", "rjsonnet", "crc32c", "matplotlib", "numpy"}
-    assert not {"whintrail.config", "whintrail.timeline", "whintrail.standins"} & set(found.stdout.split())
+    assert not {"whintrail.config", "whintrail.timeline", "whintrail.standins"} & set(
+        completed.stdout.split()
+    )
 
 
 def test_demo_serves_and_ends(tmp_path: Path) -> None:
     command = [sys.executable, "-m", "whintrail", "demo", "--engines", "2", "--seconds", "0.5"]
-    found = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
-    assert found.returncode == 0 and "psql" in found.stdout
-    assert "kind=program" in found.stderr
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
+    assert completed.returncode == 0 and "psql" in completed.stdout
+    assert "kind=program" in completed.stderr
