--- a/whintrail/cli/check.py
+++ b/whintrail/cli/check.py
@@ -28,6 +28,8 @@
         click.echo(msgspec.json.format(msgspec.json.encode(operator_file), indent=2).decode())
     else:
         features = {"the time line": operator_file.timeline, "the fleet": operator_file.fleet}
-        states = ", ".join(f"{name} is {'off' if part is None else 'on'}" for name, part in features.items())
+        states = ", ".join(
+            f"{name} is {'off' if section is None else 'on'}" for name, section in features.items()
+        )
         click.echo(f"{file}: can be used; {states}")
     return 0
--- a/whintrail/subset/assignment.py
+++ b/whintrail/subset/assignment.py
@@ -26,7 +26,7 @@
 from whintrail.subset.ring import RING_MASK, RING_MULTIPLIERS, RING_SIZE, GatewayRing, hash_pair
 
 RING_COUNT = 2
-MIN_SIZE_DIVISOR = 4  # a gateway keeps at least this fraction of the mean subset size
+MIN_SIZE_DIVISOR = 4  # a gateway keeps at least 1/4 of the mean subset size
 MIN_CLUMP_ENGINES = 4  # engines of a cell placed together, where a class repeats queries within cells only
 CLUMP_SPREAD_BITS = 24  # of a position: separates the engines of a clump
 RingPosition = tuple[int, str]  # a position and the engine at it
