--- a/whintrail/cli/settings.py
+++ b/whintrail/cli/settings.py
@@ -63,8 +63,8 @@
 def propose(file: str, why: str, wait_s: float, path: str, form: str) -> int:
     """Propose a file's rules as the next version. Answered once the proposal is committed; `status` reports
     whether it came into force, or which gateway vetoed it and why."""
-    body = read_rules_file(file)
-    return submit_change(path, form, wait_s, "proposed", what="propose", body=body, why=why)
+    rules = read_rules_file(file)
+    return submit_change(path, form, wait_s, "proposed", what="propose", body=rules, why=why)
 
 
 @settings.command()
