--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The owner alone, with engines and a client that only remember: one end for each attempt and query."""
+"""Unit tests of the dispatcher with a fake client and fake engines that only record calls."""
 
 import asyncio
 import gc
@@ -31,6 +31,8 @@
 
 
 class FakeEngines:
+    """Records sent and cancelled attempts."""
+
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
         self.cancelled: list[Attempt] = []
@@ -49,9 +51,11 @@
 
 
 class FakeClient:
+    """Records the answers to its queries."""
+
     def __init__(self) -> None:
         self.answers: list[str] = []
-        self.closed, self.liveness_checks = False, 0  # its end, which nobody has read so far
+        self.closed, self.liveness_checks = False, 0  # closed: no session has read the end yet
 
     def send_result(self, query: Query, pages: list[Rows]) -> None:
         self.answers.append("served")
@@ -71,7 +75,7 @@
 
 
 class Harness:
-    """An owner that knows one engine, and its one client."""
+    """A dispatcher with one engine and one client."""
 
     def __init__(self) -> None:
         self.engines, self.client, self.counters = FakeEngines(), FakeClient(), Counters()
@@ -281,7 +285,7 @@
         del query
         harness.inbox.put(
             EngineListUpdate(api.EngineListReceived(api.ListKind.DELTA, ()), {})
-        )  # the last input is still in hand
+        )  # run() still holds the last input
         await let_dispatcher_run()
         gc.collect()
         assert not [thing for thing in gc.get_objects() if isinstance(thing, Query)]
@@ -292,7 +296,7 @@
 def test_no_attempt_starts_for_a_client_that_left_while_its_query_was_queued() -> None:
     async def scenario(harness: Harness) -> None:
         query = harness.ask()
-        query.client_left = True  # as the session sets it, ahead of what it puts on the queue
+        query.client_left = True  # the session sets it before it puts ClientDeparted
         harness.inbox.put(ClientDeparted(query))
         await let_dispatcher_run()
         assert (
@@ -311,7 +315,7 @@
         harness.ask()
         await let_dispatcher_run()
         (first,) = harness.engines.sent
-        harness.client.closed = True  # its end is in the kernel, and no session has read it
+        harness.client.closed = True  # the end is in the kernel, and no session has read it
         harness.inbox.put(AttemptResult(first, api.Outcome.CONNECT_FAILED))
         await let_dispatcher_run()
         assert len(harness.engines.sent) == 1 and harness.client.liveness_checks >= 1
@@ -322,7 +326,7 @@
 def test_no_attempt_starts_for_a_query_that_expired_in_the_queue() -> None:
     async def scenario(harness: Harness) -> None:
         query = harness.ask(ttl_ms=400)
-        time.sleep(0.5)  # the owner has no turn: it takes the query at the time it came, when it still could
+        time.sleep(0.5)  # blocks the event loop: the query expires while it is queued
         await let_dispatcher_run()
         assert query.attempts_started and not harness.engines.sent and len(harness.client.answers) == 1
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links to engines alone: which ones take requests, and what their ends are called."""
+"""Unit tests of the links to engines: which links carry requests, and with which outcome requests end."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
 
 
 class FakeClient:
-    """A client that may have gone."""
+    """A client that may have disconnected."""
 
     closed = False
 
@@ -33,7 +33,7 @@
 
 
 class AdjustableClock(Clock):
-    """A clock that a test may set ahead: what a machine takes for a step then counts for nothing."""
+    """A clock that a test advances, so that results don't depend on the speed of the machine."""
 
     offset_us = 0
 
@@ -42,7 +42,7 @@
 
 
 class Harness:
-    """Links to one engine, whose side of each connection is in `accepted`."""
+    """A link pool with one engine; the engine's side of each connection is in `accepted`."""
 
     def __init__(self, **limits: Any) -> None:
         self.limits = replace(Limits.read({"settings": {}}), **limits)
@@ -82,7 +82,7 @@
                 await asyncio.sleep(0.005)
 
     def has_partial_answer(self) -> bool:
-        """Whether half an answer has been read."""
+        """Whether a partial answer has been read."""
         return any(link.partial_since_us is not None for links in self.pool.links.values() for link in links)
 
     def outcomes(self) -> list[api.Outcome]:
@@ -122,7 +122,7 @@
     async def scenario(harness: Harness) -> None:
         harness.answer(await harness.send())
         await asyncio.sleep(0.05)
-        harness.accepted[0].sendall(b"0000000000000001 serv")  # in the very moment of its close
+        harness.accepted[0].sendall(b"0000000000000001 serv")  # right before the close
         if how == "reset":
             harness.accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         harness.accepted[0].close()
@@ -145,7 +145,7 @@
         await harness.send()
         assert len(harness.accepted) == 2 and harness.counters["links", "retired"] == 1
 
-    run_scenario(scenario, quiet_link_us=5_000_000, watch_s=0.02)
+    run_scenario(scenario, link_silence_timeout_us=5_000_000, sweep_interval_s=0.02)
 
 
 def test_a_silent_link_is_closed_once_its_request_is_cancelled() -> None:
@@ -155,7 +155,7 @@
         harness.pool.cancel(attempt)
         await harness.wait_until(lambda: not harness.pool.links)
 
-    run_scenario(scenario, quiet_link_us=5_000_000, watch_s=0.02)
+    run_scenario(scenario, link_silence_timeout_us=5_000_000, sweep_interval_s=0.02)
 
 
 def test_the_probe_after_an_unanswered_one_uses_a_new_link() -> None:
@@ -170,7 +170,7 @@
         harness.pool.probe("e1")
         assert harness.counters["links", "opened"] == 2
 
-    run_scenario(scenario, connect_s=0.1)
+    run_scenario(scenario, connect_timeout_s=0.1)
 
 
 def test_a_stalled_partial_answer_fails_all_requests_on_the_link() -> None:
@@ -178,13 +178,13 @@
         first, _ = await harness.send(), await harness.send()
         harness.accepted[0].sendall(first.query.statement.call_id + b" served total=1 100\r\nhalf")
         await harness.wait_until(harness.has_partial_answer)
-        await asyncio.sleep(0.05)  # some looks
+        await asyncio.sleep(0.05)  # several sweeps
         assert not harness.outcomes()
         harness.clock.offset_us += 6_000_000
         await harness.wait_until(harness.outcomes)
         assert harness.outcomes() == [api.Outcome.RESET, api.Outcome.RESET]
 
-    run_scenario(scenario, partial_answer_us=5_000_000, watch_s=0.02)
+    run_scenario(scenario, partial_answer_timeout_us=5_000_000, sweep_interval_s=0.02)
 
 
 def test_no_request_is_sent_on_an_idle_link_with_a_partial_line() -> None:
@@ -193,14 +193,14 @@
         await harness.wait_until(harness.outcomes)
         harness.accepted[0].sendall(
             b"0000000000000001 serv"
-        )  # of an answer that nobody awaits; it never ends
+        )  # an answer to an unknown request, never completed
         await harness.wait_until(harness.has_partial_answer)
         harness.answer(await harness.send())
         await harness.wait_until(lambda: len(harness.outcomes()) == 2)
         assert len(harness.accepted) == 2 and harness.counters["links", "retired"] == 1
         assert harness.outcomes() == [api.Outcome.ERROR, api.Outcome.ERROR]
 
-    run_scenario(scenario, partial_answer_us=5_000_000)
+    run_scenario(scenario, partial_answer_timeout_us=5_000_000)
 
 
 @pytest.mark.parametrize(("passed_us", "links"), [(0, 1), (3_000_000, 2)])
@@ -213,7 +213,7 @@
         await harness.send()
         assert len(harness.accepted) == links and not harness.outcomes()
 
-    run_scenario(scenario, partial_answer_us=10_000_000)  # the link itself ends long after
+    run_scenario(scenario, partial_answer_timeout_us=10_000_000)  # the link itself is closed much later
 
 
 def test_links_set_tcp_nodelay() -> None:
@@ -241,7 +241,7 @@
         await harness.send()
         block = b"00000000000000ff update how=done,datum=0.5 0\r\n\r\n" * 20_000
         flood = asyncio.create_task(asyncio.to_thread(harness.accepted[0].sendall, block * 5))
-        longest = 0.0  # in processor time of the loop's thread: the rest is what else the machine does
+        longest = 0.0  # CPU time of this thread, so that other load on the machine doesn't count
         while not flood.done():
             start = time.thread_time()
             await asyncio.sleep(0)
@@ -252,18 +252,18 @@
     run_scenario(scenario)
 
 
-# --- What held when the module chose, and does not when the first byte could go out.
+# --- Attempts that are no longer valid when their connection is established.
 
 
 async def outcomes_of_delayed_connect(
     harness: Harness, change: Callable[[Harness, Attempt], None], **fields: Any
 ) -> list[api.Outcome]:
-    """An attempt whose connection comes up once `change` has happened."""
+    """The outcomes of an attempt whose connection is established after `change` was applied."""
     text = b"/* op=short,call=00000000000000aa */ SELECT 1 FROM a_1.b"
     query: Any = Query(harness.client, read_statement(text), 0)  # type: ignore[arg-type]
     now = harness.inbox.clock.now_us()
     attempt = Attempt(query, 0, "e1", now, now + 5_000_000, **fields)
-    harness.pool.send(attempt)  # its task has had no turn: no connection stands
+    harness.pool.send(attempt)  # not connected: the link's task has not run yet
     change(harness, attempt)
     harness.accepted.append(await asyncio.to_thread(lambda: harness.sock.accept()[0]))
     await asyncio.sleep(0.05)
@@ -324,15 +324,15 @@
         await harness.send()
         (link,) = harness.pool.links["e1"]
         assert link.connection is not None
-        link.connection.write(b"x" * (1 << 24))  # more than the kernel takes
+        link.connection.write(b"x" * (1 << 24))  # more than the kernel buffers
         await asyncio.sleep(0.05)
         assert link.connection.blocked_since is not None
         await harness.send()
-        assert len(harness.accepted) == 2  # another link carries it
+        assert len(harness.accepted) == 2  # sent on another link
         await asyncio.sleep(0.3)
-        assert harness.outcomes() == [api.Outcome.RESET]  # the first link is given up
+        assert harness.outcomes() == [api.Outcome.RESET]  # the first link is closed
 
-    run_scenario(scenario, partial_answer_us=150_000, watch_s=0.02)
+    run_scenario(scenario, partial_answer_timeout_us=150_000, sweep_interval_s=0.02)
 
 
 @pytest.mark.parametrize("sign", [b"served total=2 6\r\na\tb\tc\n", b"update how=done,datum=0.5 0\r\n"])
--- a/tests/test_rough_clients.py
+++ b/tests/test_rough_clients.py
@@ -1,4 +1,4 @@
-"""The program among clients that stay for good, stay silent, or send what nobody can use."""
+"""The gateway with clients that stay connected, stay silent, flood it or send invalid input."""
 
 import asyncio
 import gc
@@ -20,13 +20,13 @@
 
 
 def test_idle_sessions_are_evicted_for_new_clients() -> None:
-    with deployment(sockets=64) as given:  # room for 28 sessions
+    with deployment(sockets=64) as given:  # limit of 28 client connections
         start, stay = time.monotonic(), []
         for _ in range(70):
             stay.append(given.client())
             assert stay[-1].ask(query()).rows
         assert time.monotonic() - start < 5.0
-        assert stay[0].file.read() == b""  # the longest idle was closed, without a word
+        assert stay[0].file.read() == b""  # the longest idle session was closed without an error
         assert stay[-1].ask(query()).rows
 
 
@@ -69,7 +69,7 @@
         start = time.monotonic()
         client.sock.sendall(b"Q" + struct.pack("!I", 60_000_000))
         block = bytes(1 << 20)
-        with suppress(OSError):  # it need not read all of it
+        with suppress(OSError):  # the gateway may close before it has read everything
             for _ in range(60):
                 client.sock.sendall(block)
                 asked = time.monotonic()
@@ -90,7 +90,7 @@
             try:
                 sent += flood.sock.send(block)
             except TimeoutError:
-                break  # the gateway reads no more of what it can't answer
+                break  # the gateway has stopped reading
             asked = time.monotonic()
             assert other.ask(query()).rows
             assert time.monotonic() - asked < 1.0
--- a/whintrail/__main__.py
+++ b/whintrail/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m whintrail` serves from RELAY_CONFIG; with a sub-command it is the command line."""
+"""`python -m whintrail` runs the gateway from RELAY_CONFIG; with a sub-command it is the command line."""
 
 import signal
 import sys
@@ -7,10 +7,10 @@
     from whintrail import cli
 
     sys.exit(cli.main())
-else:  # serving imports nothing that it doesn't need
-    # The first thing of all: a SIGHUP during the imports, most of a start, would end the program.
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+else:  # the gateway imports only what it needs
+    # Must come before the imports, which take most of the start: an unhandled SIGHUP would end the program.
+    early_hangups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_hangups.append(signal_number))
     from whintrail.gateway import service
 
-    sys.exit(service.main(early))
+    sys.exit(service.main(early_hangups))
--- a/whintrail/gateway/__init__.py
+++ b/whintrail/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets: clients on one side, engines on the other, the decision module between."""
+"""The gateway process: client sessions, links to engines, and the dispatcher that runs the routing policy."""
--- a/whintrail/gateway/bulletin.py
+++ b/whintrail/gateway/bulletin.py
@@ -1,4 +1,7 @@
-"""The list of engines: events known at the start, then those of the bulletin, each once and in order."""
+"""The client of the bulletin, the service that lists engines.
+
+It publishes the events known from the configuration, then those of the bulletin, each once and in order.
+"""
 
 import asyncio
 import time
@@ -25,14 +28,14 @@
 
 
 class BulletinError(ValueError):
-    """The line is no event; the list in hand stays in force."""
+    """The line is not a valid event; the current list stays in force."""
 
 
 def read_entry(item: Mapping[str, Any]) -> tuple[api.EngineEntry, str]:
-    """The engine and its address."""
+    """Read one engine of an event, with its address."""
     try:
-        engine, where, state = item["instanceId"], item["hostPort"], LIFECYCLE_STATES[item["lifecycle"]]
-        parse_address(where)
+        engine, address, state = item["instanceId"], item["hostPort"], LIFECYCLE_STATES[item["lifecycle"]]
+        parse_address(address)
         started_ms = get_or_default(item, "startedAtMs", 0)
         entry = api.EngineEntry(
             engine=str(engine),
@@ -45,24 +48,24 @@
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise BulletinError(f"{type(error).__name__}: {error}") from error
-    return entry, where
+    return entry, address
 
 
 def read_list_update(event: Mapping[str, Any], log: Log, is_first: bool) -> EngineListUpdate:
-    """An event in the module's terms; entries that can't be used are skipped."""
+    """Convert an event to a list update; invalid entries are logged and skipped."""
     roster = event.get("roster")
     if not isinstance(roster, dict) or not isinstance(get_or_default(roster, "instances", []), list):
-        raise BulletinError("an event without a list")
+        raise BulletinError("event without a list")
     entries: list[api.EngineEntry] = []
     addresses: dict[str, str] = {}
     for item in get_or_default(roster, "instances", []):
         try:
-            entry, where = read_entry(item)
+            entry, address = read_entry(item)
         except BulletinError as error:
-            log.line("bulletin", f"an entry skipped: {error}")
+            log.line("bulletin", f"invalid entry skipped: {error}")
             continue
         entries.append(entry)
-        addresses[entry.engine] = where
+        addresses[entry.engine] = address
     kind = api.ListKind.FULL if roster.get("reset") else api.ListKind.DELTA
     if is_first:
         kind = api.ListKind.CACHED
@@ -75,17 +78,19 @@
 
 
 class BulletinClient:
+    """Follows the bulletin, reconnecting as needed, and puts each event on the dispatcher's inbox."""
+
     def __init__(
         self, config: Mapping[str, Any], limits: Limits, inbox: Inbox, counters: Counters, log: Log
     ) -> None:
         self.limits, self.inbox, self.counters, self.log = limits, inbox, counters, log
         self.server_address = parse_address(config["bulletin"])
         self.follow_task: asyncio.Task[bool] | None = None
-        self.address_changed = False  # to another address, since the last connect
-        self.retry_now = asyncio.Event()  # no need to wait for the next try
-        self.last_received_us = time.monotonic_ns() // 1000  # when it last said anything that could be read
-        self.last_event_number = 0  # of the last event that we have
-        self.unreadable_event_number = 0  # the last event that could not be read
+        self.address_changed = False  # since the last connect
+        self.retry_now = asyncio.Event()  # set to end the wait before the next connect
+        self.last_received_us = time.monotonic_ns() // 1000  # time of the last line with valid JSON
+        self.last_event_number = 0
+        self.unreadable_event_number = 0
         self.has_published = False
         known = get_or_default(config, "known", {})
         for event in get_or_default(known, "items", []):
@@ -95,25 +100,24 @@
     def _apply_event(self, event: Mapping[str, Any]) -> None:
         number = event.get("no")
         if not isinstance(number, int) or number <= self.last_event_number:
-            return  # had already
+            return  # received before
         try:
-            listed = read_list_update(event, self.log, is_first=not self.has_published)
+            update = read_list_update(event, self.log, is_first=not self.has_published)
         except BulletinError:
-            if (
-                self.unreadable_event_number != number
-            ):  # not yet had, so that it is asked for again: it may tell of a drain
+            if self.unreadable_event_number != number:
+                # Not counted as received, so that it is requested again: it may announce a drain.
                 self.unreadable_event_number = number
                 raise
             self.counters.add("bulletin", "unreadable")
-            self.last_event_number = number  # the same again: it is not worth the rest of the list
+            self.last_event_number = number  # invalid twice: skip it rather than block later events
             return
         self.last_event_number = number
         self.counters.add("bulletin", "events")
-        self.inbox.put(listed)
+        self.inbox.put(update)
         self.has_published = True
 
     def process_line(self, line: bytes) -> bool:
-        """False where events are missing and the connection has to be made anew."""
+        """Process a line; returns False if events are missing and the connection has to be renewed."""
         try:
             data = orjson.loads(line)
             self.last_received_us = time.monotonic_ns() // 1000
@@ -123,12 +127,12 @@
                 raise BulletinError("neither an event nor a number")
             number = data.get("no")
             if not isinstance(number, int):
-                raise BulletinError("an event without a number")
+                raise BulletinError("event without a number")
             roster = data.get("roster")
-            whole = isinstance(roster, dict) and roster.get("reset") is True
+            is_full = isinstance(roster, dict) and roster.get("reset") is True
             if (
-                number > self.last_event_number + 1 and not whole
-            ):  # a whole list needs none of those before it
+                number > self.last_event_number + 1 and not is_full
+            ):  # a full list replaces all events before it
                 return False
             self._apply_event(data)
         except (orjson.JSONDecodeError, BulletinError) as error:
@@ -137,7 +141,7 @@
         return True
 
     def change_address(self, server_address: tuple[str, int]) -> None:
-        """Follow the bulletin at another address, from the last number that we have."""
+        """Follow the bulletin at another address, from the last event received."""
         if server_address != self.server_address:
             self.server_address, self.address_changed = server_address, True
             if self.follow_task is not None:
@@ -145,56 +149,64 @@
             self.retry_now.set()
 
     async def run(self) -> None:
-        wait = self.limits.bulletin_retry_min_s
+        """Follow the bulletin until cancelled; reconnects with a backoff that doubles up to its limit."""
+        backoff_s = self.limits.bulletin_retry_min_s
         loop = asyncio.get_running_loop()
         while True:
-            before, self.address_changed = self.last_event_number, False
+            previous_number, self.address_changed = self.last_event_number, False
             self.follow_task = loop.create_task(self._follow_events())
             try:
-                sound = await self.follow_task
+                was_useful = await self.follow_task
             except asyncio.CancelledError:
-                if not self.address_changed:  # the program ends
+                if not self.address_changed:  # the gateway is stopping
                     self.follow_task.cancel()
                     raise
-                sound = True
+                was_useful = True
             except TimeoutError:
-                sound = False
-                self.log.line("bulletin", "silent: asked anew")
+                was_useful = False
+                self.log.line("bulletin", "silent: reconnecting")
             except OSError as error:
-                sound = False
+                was_useful = False
                 self.log.line("bulletin", f"no connection: {error}")
-            except Exception as error:  # whatever it says, the list in hand stays in force
-                sound = False
+            except Exception as error:  # on any fault the current list stays in force
+                was_useful = False
                 self.counters.add("bulletin", "faults")
                 self.log.line("bulletin", f"{type(error).__name__}: {error}")
             self.counters.add("bulletin", "reconnects")
-            wait = self.limits.bulletin_retry_min_s if sound or self.last_event_number > before else wait * 2
-            wait = min(wait, self.limits.bulletin_retry_max_s)
+            backoff_s = (
+                self.limits.bulletin_retry_min_s
+                if was_useful or self.last_event_number > previous_number
+                else backoff_s * 2
+            )
+            backoff_s = min(backoff_s, self.limits.bulletin_retry_max_s)
             if not self.address_changed:
                 self.retry_now.clear()
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(wait):
+                    async with asyncio.timeout(backoff_s):
                         await self.retry_now.wait()
 
     async def _follow_events(self) -> bool:
-        """Take lines until the connection ends; False if it was silent or missed something."""
+        """Process lines until the connection ends; returns whether it was useful.
+
+        Returns False if no line came, or if events were missed. Errors: TimeoutError, OSError.
+        """
         loop, sock, limits = asyncio.get_running_loop(), create_tcp_socket(), self.limits
         connection = Connection(sock, Buffer(limits.initial_buffer_bytes, limits.bulletin_line_bytes))
-        came = False
+        has_line = False
         try:
             async with asyncio.timeout(limits.bulletin_connect_timeout_s):
                 await loop.sock_connect(sock, self.server_address)
             configure_socket(sock)
             connection.write(b"after %d\n" % self.last_event_number)
-            # It speaks in whole lines, each second: bytes that never end a line are silence too.
-            due = loop.time() + limits.bulletin_silence_timeout_s
+            # The bulletin sends a complete line each second; bytes without a line end count as silence.
+            silent_at = loop.time() + limits.bulletin_silence_timeout_s
             while True:
-                async with asyncio.timeout_at(due):
+                async with asyncio.timeout_at(silent_at):
                     if not await connection.receive():
-                        return came
+                        return has_line
                 buffer = connection.buffer
                 while (end := buffer.find(b"\n", limits.bulletin_line_bytes)) >= 0:
-                    came, due = True, loop.time() + limits.bulletin_silence_timeout_s
+                    has_line, silent_at = True, loop.time() + limits.bulletin_silence_timeout_s
                     if not self.process_line(buffer.take(end + 1)):
                         return False
                 if buffer.full:
--- a/whintrail/gateway/dispatcher.py
+++ b/whintrail/gateway/dispatcher.py
@@ -1,7 +1,8 @@
-"""The one owner of the decision module: its queue, its timers, its actions.
+"""The dispatcher: the single task that runs the routing policy.
 
-Sessions, links and the bulletin put what happens on the queue; one task takes it in order, hands it to the
-module and carries out what the module asks for. Nothing else touches the module.
+Sessions, links and the bulletin client put their inputs on the dispatcher's inbox. The dispatcher processes
+them in order, passes them to the routing policy as events and executes the actions that the policy returns.
+Nothing else calls the policy, so it needs no locks.
 """
 
 import asyncio
@@ -24,24 +25,24 @@
 
 
 class Client(Protocol):
-    """Who asked. Each answer is for the query that it names; one for another query is dropped."""
+    """The client of a query. Each answer names its query; an answer to any other query is dropped."""
 
     def send_result(self, query: "Query", pages: list[Rows]) -> None: ...
     def refuse(self, query: "Query", retry_after_us: int | None) -> None: ...
     def fail(self, query: "Query", reason: str) -> None: ...
     def reject(self, query: "Query", reason: str) -> None: ...
-    def has_left(self, query: "Query") -> bool: ...  # asks the connection itself
+    def has_left(self, query: "Query") -> bool: ...  # checks the connection itself
 
 
 class AttemptLink(Protocol):
-    """A link: an attempt that it does not carry is none of its business."""
+    """A link as an attempt's query sees it. Calls for an attempt that is not on the link have no effect."""
 
     def cancel(self, attempt: "Attempt") -> None: ...
     def update_priority(self, attempt: "Attempt") -> None: ...
 
 
 class TimelineRecorder(Protocol):
-    """Who keeps what engines go through. It decides nothing, and its faults are not the gateway's."""
+    """Records what happens to engines. It decides nothing, and its faults don't affect the gateway."""
 
     def record_engine_list(self, now: int, event: api.EngineListReceived) -> None: ...
     def record_probe(self, now: int, event: api.ProbeFinished) -> None: ...
@@ -68,13 +69,13 @@
 
 
 class PeerSender(Protocol):
-    """What carries messages to other gateways; it may lose any."""
+    """Sends messages to other gateways. Any message may be lost."""
 
     def send(self, target: int | None, payload: bytes) -> None: ...
 
 
 class OperatorRules(Protocol):
-    """What the operators agreed on that bears on what is taken; see `versions/body.py`."""
+    """The operators' rules that restrict which queries are admitted; see `versions/body.py`."""
 
     @property
     def shut(self) -> tuple[str, ...]: ...
@@ -89,14 +90,14 @@
 
 
 class EngineListOverlay(Protocol):
-    """What the fleet has agreed on the engines, laid over the bulletin's list."""
+    """Applies the drains that the fleet has agreed on to the bulletin's engine list."""
 
     def apply_list(self, event: api.EngineListReceived) -> api.EngineListReceived: ...
     def set_drained(self, engines: frozenset[str]) -> api.EngineListReceived | None: ...
 
 
 class EngineSubset(Protocol):
-    """The part of the engines that this gateway keeps, where each keeps a part; see `gateway/subset.py`."""
+    """The subset of the engines that this gateway uses; see `gateway/subset.py`."""
 
     def apply_event(
         self, event: api.EngineListReceived, addresses: Mapping[str, str]
@@ -107,7 +108,10 @@
 
 
 class EngineTransport(Protocol):
-    """What carries attempts and probes; each gets exactly one end through the queue, never at once."""
+    """Sends attempts and probes to engines.
+
+    Each attempt and probe gets exactly one result, put on the inbox and never delivered within the call.
+    """
 
     def apply_engine_list(self, update: "EngineListUpdate") -> None: ...
     def send(self, attempt: "Attempt") -> None: ...
@@ -118,7 +122,7 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """A client's query, from its last byte until its answer and the end of its attempts."""
+    """A client's query, from its last received byte until it is answered and all its attempts have ended."""
 
     client: Client
     statement: Statement
@@ -126,45 +130,51 @@
     number: int = 0
     deadline_us: int = 0
     finished: bool = False
-    client_left: bool = False  # the client has gone, though the owner may not have come to hear of it
+    client_left: bool = False  # set by the session, before the dispatcher processes its ClientDeparted
     grant_mb: float = 0.0
-    priority: int | None = None  # None: never set
+    priority: int | None = None  # None until the policy sets one
     attempts_started: int = 0
     open_attempts: dict[int, "Attempt"] = field(default_factory=dict)
-    used_links: list["AttemptLink"] = field(
-        default_factory=list
-    )  # links that have carried it: no id runs twice on one
-    deadline_timer: Timer | None = None  # for the end of its time
-    counted_by_class: bool = False  # among those in hand of its class
+    used_links: list["AttemptLink"] = field(default_factory=list)  # a call id is sent at most once per link
+    deadline_timer: Timer | None = None
+    counted_by_class: bool = False  # included in Dispatcher.open_by_class
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One try to run a query on an engine."""
+
     query: Query
     number: int
     engine: str
     sent_us: int
     deadline_us: int
-    begin_by_us: int | None = None  # its first byte may go out no later
-    exclusive: bool = False  # it may not be repeated: what breaks others' connection should not break its own
+    begin_by_us: int | None = None  # latest time to send its first byte
+    # Set if the query may not be repeated: it shares no link, as a fault that another request causes would
+    # break its connection too.
+    exclusive: bool = False
     finished: bool = False
-    timeout_timer: Timer | None = None  # where its time ends before the query's
+    timeout_timer: Timer | None = None  # only if it times out before the query's deadline
 
 
 @dataclass(slots=True)
 class QueryReceived:
+    """A session has received a query."""
+
     query: Query
 
 
 @dataclass(slots=True)
 class ClientDeparted:
-    """The client left, or takes no answer any more."""
+    """The client has disconnected or cancelled the query; it takes no answer any more."""
 
     query: Query
 
 
 @dataclass(slots=True)
 class AttemptResult:
+    """How an attempt ended; of several results for one attempt only the first counts."""
+
     attempt: Attempt
     outcome: api.Outcome
     work_ms: float | None = None
@@ -175,6 +185,8 @@
 
 @dataclass(slots=True)
 class AttemptUpdate:
+    """An engine's notice about a running attempt."""
+
     attempt: Attempt
     topic: api.StatusTopic
     value: float
@@ -182,6 +194,8 @@
 
 @dataclass(slots=True)
 class ProbeResult:
+    """How a probe ended, with the engine's load report if it sent one."""
+
     engine: str
     outcome: api.Outcome
     sent_us: int
@@ -190,11 +204,11 @@
 
 @dataclass(slots=True)
 class EngineListUpdate:
-    """An event of the engine list, with the addresses of its engines."""
+    """A change of the engine list, with the addresses of its engines."""
 
     event: api.EngineListReceived
     addresses: dict[str, str]
-    generation: int = 0  # of the whole list, which gateways can compare
+    generation: int = 0  # of the full list; gateways compare it among themselves
 
 
 @dataclass(slots=True)
@@ -207,14 +221,14 @@
 
 @dataclass(slots=True)
 class DrainsChanged:
-    """Engines that the fleet has agreed to drain, all of them."""
+    """The complete set of engines that the fleet has agreed to drain."""
 
     engines: frozenset[str]
 
 
 @dataclass(slots=True)
 class Shutdown:
-    """What is still open fails now."""
+    """The gateway is about to exit: all open queries fail now."""
 
 
 Input = (
@@ -231,7 +245,7 @@
 
 
 class Inbox:
-    """The one way to the owner: each input with the time at which it happened."""
+    """The dispatcher's queue of inputs, each with the time at which it was put."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -239,16 +253,18 @@
         self.waiter: asyncio.Future[None] | None = None
 
     def put(self, item: Input) -> None:
+        """Queue an input with the current time."""
         self.queue.append((self.clock.now_us(), item))
         if self.waiter is not None:
             self.wake()
 
     def wake(self) -> None:
+        """End the dispatcher's `wait`."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     async def wait(self) -> None:
-        """Until something is queued or `wake` is called."""
+        """Wait until an input is queued or `wake` is called."""
         if not self.queue:
             self.waiter = asyncio.get_running_loop().create_future()
             await self.waiter
@@ -256,6 +272,8 @@
 
 
 class Dispatcher:
+    """Runs the routing policy: its inputs, timers and actions, all on one task."""
+
     def __init__(
         self,
         settings: api.Settings,
@@ -271,38 +289,32 @@
         self.clock = inbox.clock
         self.now_us = self.clock.now_us()
         self.max_attempts = settings.max_attempts
-        self.shutdown_deadline_us: int | None = None  # when the program ends, once it is told to
+        self.shutdown_deadline_us: int | None = None  # set once the gateway has to stop
         self.non_repeatable_classes = {c.name for c in settings.classes if c.effect is api.Effect.ONCE}
         self.class_deadlines_us = {c.name: c.deadline_us for c in settings.classes}
         self.policy = RoutingPolicy(settings, seed, self.now_us)
         self.open_queries: dict[int, Query] = {}
-        self.open_attempts: dict[tuple[int, int], Attempt] = {}  # without an outcome
-        self.open_call_ids: set[bytes] = set()  # ids of open queries
-        self.recent_call_ids, self.older_call_ids = (
-            set[bytes](),
-            set[bytes](),
-        )  # of those over, of late and before that
+        self.open_attempts: dict[tuple[int, int], Attempt] = {}  # by query and attempt number
+        self.open_call_ids: set[bytes] = set()
+        # Ids of finished queries, in two generations.
+        self.recent_call_ids, self.older_call_ids = set[bytes](), set[bytes]()
         self.rotate_call_ids_at_us = self.now_us + limits.call_id_retention_us
         self.last_query_number = 0
         self.timers = TimingWheel(self.now_us)
         self.timeline: TimelineRecorder | None = None
-        self.drain_overlay: EngineListOverlay | None = None  # of the fleet's drains, where there is a fleet
+        self.drain_overlay: EngineListOverlay | None = None  # set if drains or rules can apply
         self.drained: frozenset[str] = frozenset()
-        self.subset: EngineSubset | None = None  # None: we keep all engines
+        self.subset: EngineSubset | None = None  # None: this gateway uses all engines
         self.on_engine_list: Callable[[EngineListUpdate], None] | None = None
-        self.current_rules: Callable[[], OperatorRules] | None = (
-            None  # those in force at this moment, where there are any
-        )
-        self.applied_rules: OperatorRules | None = None  # as the module knows them
-        self.open_by_class: dict[str, int] = {}  # open queries by class, where there are rules
-        self.local_number, self.retry_after_us = (
-            settings.local_number,
-            settings.max_retry_after_us if settings.retry_after else None,
-        )
+        self.current_rules: Callable[[], OperatorRules] | None = None  # None without rules
+        self.applied_rules: OperatorRules | None = None  # the rules last returned by current_rules
+        self.open_by_class: dict[str, int] = {}  # maintained only while rules apply
+        self.local_number = settings.local_number
+        self.retry_after_us = settings.max_retry_after_us if settings.retry_after else None
         self.load_classes = {c.name for c in settings.classes if c.is_load}
         self.class_counts: dict[str, list[int]] | None = None
         self.latency_targets_us = {c.name: c.target_latency_us for c in settings.classes}
-        self.peers: PeerSender | None = None  # none where the deployment bars talk among gateways
+        self.peers: PeerSender | None = None  # None if the deployment forbids messages among gateways
         self.wakeup: asyncio.TimerHandle | None = None
         self.wakeup_at_us = 0
         self._execute(self.policy.start())
@@ -310,34 +322,36 @@
     def attach_timeline(
         self, timeline: TimelineRecorder, tick: Callable[[int], None], interval_us: int
     ) -> None:
-        """Keep a time line from now on; `tick` is called with the time, again and again."""
+        """Record to a timeline from now on, and call `tick` with the current time every `interval_us`."""
         self.timeline, self.policy.decision_log = timeline, []
 
-        def turn() -> None:
-            self.timers.schedule(self.now_us + interval_us, turn)
+        def run_tick() -> None:
+            self.timers.schedule(self.now_us + interval_us, run_tick)
             try:
                 tick(self.now_us)
             except Exception as error:
                 self._report_fault(error, "a tick", "timeline")
 
-        turn()
+        run_tick()
 
     @property
     def is_idle(self) -> bool:
+        """Whether no query is open and no input is queued."""
         return not self.open_queries and not self.inbox.queue
 
     async def run(self) -> None:
+        """Process inputs and timers until cancelled."""
         queue, timers = self.inbox.queue, self.timers
         while True:
             await self.inbox.wait()
             while queue:
-                at, item = queue.popleft()
+                at_us, item = queue.popleft()
                 if self.current_rules is not None:
                     self._refresh_rules()
                 if len(timers):
-                    self._run_due_timers(at)
-                if at > self.now_us:
-                    self.now_us = at
+                    self._run_due_timers(at_us)
+                if at_us > self.now_us:
+                    self.now_us = at_us
                 try:
                     self._process(item)
                 except Exception as error:
@@ -348,57 +362,59 @@
     # --- Timers.
 
     def _run_due_timers(self, until_us: int) -> None:
-        """What has fallen due by then, in order; what this sets for the same time waits its turn."""
-        last = self.timers.last_sequence
-        while (then := self.timers.pop_due(until_us, last)) is not None:
+        """Run the timers due by `until_us` in order; timers that they set run in a later call."""
+        last_sequence = self.timers.last_sequence
+        while (callback := self.timers.pop_due(until_us, last_sequence)) is not None:
             self.now_us = max(self.now_us, until_us)
             try:
-                then()
+                callback()
             except Exception as error:
                 self._report_fault(error, "a timer")
 
     def _schedule_wakeup(self) -> None:
-        due = self.timers.next_due_us()
-        if due is None:
+        due_us = self.timers.next_due_us()
+        if due_us is None:
             return
         if self.wakeup is not None:
-            if self.wakeup_at_us <= due:
+            if self.wakeup_at_us <= due_us:
                 return
             self.wakeup.cancel()
-        self.wakeup_at_us = due
-        # The loop's timers count whole milliseconds: one that came early would only be set again.
-        delay = max(0, due - self.clock.now_us()) // 1000 / 1000 + 0.001
-        self.wakeup = asyncio.get_running_loop().call_later(delay, self._on_wakeup)
+        self.wakeup_at_us = due_us
+        # The event loop's timers have millisecond resolution. Round up, as a timer that fires too early would
+        # only be set again.
+        delay_s = max(0, due_us - self.clock.now_us()) // 1000 / 1000 + 0.001
+        self.wakeup = asyncio.get_running_loop().call_later(delay_s, self._on_wakeup)
 
     def _on_wakeup(self) -> None:
         self.wakeup = None
         self.inbox.wake()
 
-    # --- What happens.
+    # --- Inputs.
 
     def _handle_event(self, event: api.Event) -> None:
+        """Pass an event to the policy and execute the actions it decides on."""
         try:
             actions = self.policy.handle(self.now_us, event)
         except Exception as error:
             self._report_fault(error, event)
-            actions = self.policy.actions  # what it had decided by then, which it remembers
+            actions = self.policy.actions  # those decided before the fault; the policy's state holds them
         self._execute(actions)
         if self.policy.decision_log and self.timeline is not None:
-            remarks, self.policy.decision_log = self.policy.decision_log, []
-            self._record(self.timeline.record_remarks, self.now_us, remarks)
+            decisions, self.policy.decision_log = self.policy.decision_log, []
+            self._record(self.timeline.record_remarks, self.now_us, decisions)
 
     def _record(self, method: Callable[..., None], *arguments: object) -> None:
-        """For the time line; its faults are counted, and end nothing."""
+        """Call a method of the timeline; its exceptions are counted and logged only."""
         try:
             method(*arguments)
         except Exception as error:
             self._report_fault(error, arguments, "timeline")
 
     def _report_fault(self, error: Exception, context: object, component: str = "module") -> None:
-        """One query's trouble must not be everybody's."""
+        """Count and log an exception, so that a fault with one query doesn't stop all others."""
         self.counters.add(component, "faults")
-        where = traceback.extract_tb(error.__traceback__)[-1]
-        place = f"{where.name}:{where.lineno}"
+        frame = traceback.extract_tb(error.__traceback__)[-1]
+        place = f"{frame.name}:{frame.lineno}"
         self.log.line(component, f"{type(error).__name__}: {error} at {place}, on {str(context)[:200]}")
 
     def _process(self, item: Input) -> None:
@@ -419,10 +435,10 @@
                     )
             case ProbeResult(engine, outcome, sent_us, report):
                 self.counters.add("probes", outcome.value.replace(" ", "_"))
-                probed = api.ProbeFinished(engine, outcome, self.now_us - sent_us, report)
+                probe = api.ProbeFinished(engine, outcome, self.now_us - sent_us, report)
                 if self.timeline is not None:
-                    self._record(self.timeline.record_probe, self.now_us, probed)
-                self._handle_event(probed)
+                    self._record(self.timeline.record_probe, self.now_us, probe)
+                self._handle_event(probe)
             case ClientDeparted(query):
                 self._abandon_query(query, "left")
             case EngineListUpdate(event, addresses):
@@ -430,11 +446,11 @@
                     self.engines.apply_engine_list(item)
                 if self.on_engine_list is not None:
                     self.on_engine_list(item)
-                shown = event if self.drain_overlay is None else self.drain_overlay.apply_list(event)
+                visible = event if self.drain_overlay is None else self.drain_overlay.apply_list(event)
                 if self.subset is None:
-                    self._forward_engine_list(shown)
+                    self._forward_engine_list(visible)
                 else:
-                    self._apply_subset_update(self.subset.apply_event(shown, addresses))
+                    self._apply_subset_update(self.subset.apply_event(visible, addresses))
             case DrainsChanged(engines):
                 self.drained = engines
                 self._apply_drains()
@@ -451,28 +467,28 @@
 
     def _apply_drains(self) -> None:
         if self.drain_overlay is not None:
-            shut = (
+            drained = (
                 self.drained.union(self.applied_rules.shut)
                 if self.applied_rules is not None
                 else self.drained
             )
-            changed = self.drain_overlay.set_drained(shut)
-            if changed is not None and self.subset is not None:
-                self._apply_subset_update(self.subset.apply_event(changed, {}))
-            elif changed is not None:
-                self._forward_engine_list(changed)
+            change = self.drain_overlay.set_drained(drained)
+            if change is not None and self.subset is not None:
+                self._apply_subset_update(self.subset.apply_event(change, {}))
+            elif change is not None:
+                self._forward_engine_list(change)
 
-    # --- Where each gateway keeps a part of the engines.
+    # --- Gateways that use a subset of the engines.
 
     def attach_subset(self, subset: EngineSubset, interval_us: int) -> None:
-        """From now on only that part of the list counts here; before the first list."""
+        """Restrict the engine list to a subset. Must be called before the first list arrives."""
         self.subset = subset
 
-        def turn() -> None:
-            self.timers.schedule(self.now_us + interval_us, turn)
+        def run_tick() -> None:
+            self.timers.schedule(self.now_us + interval_us, run_tick)
             self._apply_subset_update(subset.tick(self.now_us))
 
-        turn()
+        run_tick()
 
     def _apply_subset_update(self, update: EngineListUpdate | None) -> None:
         if update is not None:
@@ -480,63 +496,73 @@
             self._forward_engine_list(update.event)
 
     def listed_engines(self) -> Mapping[str, Engine | api.EngineEntry]:
-        """All engines of the list, whether or not we keep them."""
+        """All engines of the list, including those outside this gateway's subset."""
         return self.policy.engines if self.subset is None else self.subset.listed_engines()
 
-    # --- For the fleet.
+    # --- Fleet and operators' rules.
 
     def _refresh_rules(self) -> None:
-        """Before anything is decided: which rules hold now. One who stood still past its lease decides
-        nothing by what held before."""
+        """Read the rules in force, before any decision.
+
+        A gateway that was stopped for longer than its lease must not decide by the rules from before.
+        """
         assert self.current_rules is not None
-        rule = self.current_rules()
-        if rule is not self.applied_rules:
-            before, self.applied_rules = self.applied_rules, rule
-            if before is None or before.shut != rule.shut:
+        rules = self.current_rules()
+        if rules is not self.applied_rules:
+            previous, self.applied_rules = self.applied_rules, rules
+            if previous is None or previous.shut != rules.shut:
                 self._apply_drains()
 
     def _blocking_rule(self, query: Query) -> str:
-        """By which rule of the operators it is not taken; empty if by none."""
-        rule, statement = self.applied_rules, query.statement
-        assert rule is not None
-        name = statement.class_name
-        if name in rule.paused:
+        """The kind of the operators' rule that forbids the query; empty if none does."""
+        rules, statement = self.applied_rules, query.statement
+        assert rules is not None
+        class_name = statement.class_name
+        if class_name in rules.paused:
             return "paused"
-        cap = rule.caps.get(name)
-        if cap is not None and self.open_by_class.get(name, 0) >= cap:
+        cap = rules.caps.get(class_name)
+        if cap is not None and self.open_by_class.get(class_name, 0) >= cap:
             return "cap"
-        if rule.homes and name in self.load_classes and statement.table_group is not None:
-            if rule.homes.get(str(statement.table_group), self.local_number) != self.local_number:
+        if rules.homes and class_name in self.load_classes and statement.table_group is not None:
+            if rules.homes.get(str(statement.table_group), self.local_number) != self.local_number:
                 return "home"
         return ""
 
     def enable_fleet_accounting(self) -> None:
-        """Count by class from now on, and lay the fleet's drains over the list; before anything is taken."""
+        """Count queries by class from now on, and apply drains to the engine list.
+
+        Must be called before any input is processed.
+        """
         if self.drain_overlay is not None:
             return
-        from whintrail.fleet.drain_overlay import DrainOverlay  # only where a fleet, or rules, are asked for
+        from whintrail.fleet.drain_overlay import DrainOverlay  # imported only with a fleet or rules
 
         self.drain_overlay = DrainOverlay()
         self.class_counts = {name: [0, 0, 0, 0] for name in self.class_deadlines_us}
 
     def class_totals(self) -> tuple[tuple[int, int, int, int], ...]:
-        """Of each class, since the start: taken, failed, refused, late."""
+        """For each class, counts since the start: received, failed, refused, late."""
         counts = self.class_counts or {}
-        return tuple((a & 0xFFFFFFFF, b, c, d) for a, b, c, d in counts.values())
+        return tuple(
+            (received & 0xFFFFFFFF, failed, refused, late)
+            for received, failed, refused, late in counts.values()
+        )
 
-    def record_fleet_event(self, engine: str, word: str, figure: float, member: float) -> None:
-        """For the time line: what the fleet decided."""
+    def record_fleet_event(self, engine: str, decision: str, value: float, gateway_number: float) -> None:
+        """Record a decision of the fleet in the timeline."""
         if self.timeline is not None:
-            self._record(self.timeline.record_agreement, self.clock.now_us(), engine, word, figure, member)
+            self._record(
+                self.timeline.record_agreement, self.clock.now_us(), engine, decision, value, gateway_number
+            )
 
     def count_open_attempts(self, engine: str) -> int:
-        """Attempts without an outcome on an engine."""
+        """The number of open attempts on an engine."""
         return sum(attempt.engine == engine for attempt in self.open_attempts.values())
 
     def _count_by_class(self, query: Query, status: str) -> None:
         assert self.class_counts is not None
         counts = self.class_counts.get(query.statement.class_name)
-        if counts is None or status == "left":  # a client that left has no complaint
+        if counts is None or status == "left":  # a departed client's query says nothing about the service
             return
         counts[0] += 1
         if status == "refused":
@@ -548,9 +574,7 @@
 
     def _on_query(self, query: Query) -> None:
         statement = query.statement
-        if (
-            query.client_left
-        ):  # closed or cancelled while the owner was behind: nothing begins for it any more
+        if query.client_left:  # it disconnected or cancelled while the query was queued
             query.finished = True
             self.counters.add("queries", "left")
             return
@@ -562,23 +586,22 @@
         self.open_call_ids.add(statement.call_id)
         self.last_query_number += 1
         query.number = self.last_query_number
-        # No client waits longer than its class's deadline, whatever it says.
+        # The class's deadline is an upper bound for the time to live that the client asks for.
         ttl_us = deadline_us = self.class_deadlines_us.get(statement.class_name, 0)
         if statement.ttl_ms is not None:
             ttl_us = min(deadline_us, int(statement.ttl_ms * 1000))
         if self.applied_rules is not None:
-            most_ms = self.applied_rules.wait_ms.get(statement.class_name)
-            ttl_us = ttl_us if most_ms is None else min(ttl_us, most_ms * 1000)
+            max_wait_ms = self.applied_rules.wait_ms.get(statement.class_name)
+            ttl_us = ttl_us if max_wait_ms is None else min(ttl_us, max_wait_ms * 1000)
         query.deadline_us = query.received_us + ttl_us
-        if (
-            self.shutdown_deadline_us is not None
-        ):  # what can't be done by then is for another gateway, and told so at once
+        # While stopping, a query that can't finish in time is refused at once and can go to another gateway.
+        if self.shutdown_deadline_us is not None:
             query.deadline_us = min(query.deadline_us, self.shutdown_deadline_us)
         self.open_queries[query.number] = query
         self.counters.add("queries", "taken")
         if self.applied_rules is not None:
-            if why := self._blocking_rule(query):
-                self.counters.add("rules", why)
+            if rule := self._blocking_rule(query):
+                self.counters.add("rules", rule)
                 self._finish_query(query, "refused")
                 query.client.refuse(query, self.retry_after_us)
                 return
@@ -600,8 +623,10 @@
         )
 
     def _is_known_call_id(self, call_id: bytes) -> bool:
-        """Whether an id is open, or was of late: what an engine still says of the one query, surplus answers
-        too, may not be taken for the other's."""
+        """Whether a call id belongs to an open or recent query.
+
+        Reusing it could match an engine's late or duplicate answer for the earlier query to the new one.
+        """
         if (
             self.now_us > self.rotate_call_ids_at_us
             or len(self.recent_call_ids) >= self.limits.recent_call_ids
@@ -630,8 +655,8 @@
             query.client.send_result(query, result.pages or [])
         number, engine, elapsed_us = query.number, attempt.engine, self.now_us - attempt.sent_us
         if self.timeline is not None:
-            what = engine, number, attempt.number, result.outcome, elapsed_us, result.report
-            self._record(self.timeline.record_ended, self.now_us, *what)
+            details = engine, number, attempt.number, result.outcome, elapsed_us, result.report
+            self._record(self.timeline.record_ended, self.now_us, *details)
         self._handle_event(
             api.AttemptFinished(
                 query=number,
@@ -657,7 +682,7 @@
             self._abandon_query(query, reason)
 
     def _on_query_deadline(self, query: Query) -> None:
-        """The client's time has run out, and with it that of the attempts that are out."""
+        """Time out the open attempts; the policy then ends the query."""
         for attempt in list(query.open_attempts.values()):
             self._on_attempt_timeout(attempt)
         if not query.finished:
@@ -665,7 +690,7 @@
             query.deadline_timer = self.timers.schedule(overdue_us, lambda: self._on_query_overdue(query))
 
     def _on_query_overdue(self, query: Query) -> None:
-        """The module ends every query in time; should one be left, its client still gets an answer."""
+        """Fail a query that the policy should have ended by now, so that its client still gets an answer."""
         if not query.finished:
             self.log.line("overdue", f"query {query.number} had no answer by its deadline")
             self._fail_query(query, "overdue")
@@ -688,12 +713,12 @@
         self._release_deadline_timer(query)
 
     def _release_deadline_timer(self, query: Query) -> None:
-        """No timer keeps a query that is answered and has no attempt out."""
+        """Cancel the deadline timer of a finished query without open attempts, to free its memory."""
         if query.finished and not query.open_attempts and query.deadline_timer is not None:
             self.timers.cancel(query.deadline_timer)
             query.deadline_timer = None
 
-    # --- What the module asks for.
+    # --- Actions of the policy.
 
     def _execute(self, actions: list[api.Action]) -> None:
         for action in actions:
@@ -701,13 +726,13 @@
                 case api.SendAttempt(number, engine, timeout_us, begin_by_us):
                     self._send_attempt(number, engine, timeout_us, begin_by_us)
                 case api.SetGrantAndPriority(number, grant_mb, priority):
-                    self._set_terms(number, grant_mb, priority)
+                    self._set_grant_and_priority(number, grant_mb, priority)
                 case api.CancelAttempt(number, attempt_number):
                     self._cancel_attempt(number, attempt_number)
-                case api.RefuseQuery(number, pause_us):
+                case api.RefuseQuery(number, retry_after_us):
                     if query := self.open_queries.get(number):
                         self._finish_query(query, "refused")
-                        query.client.refuse(query, pause_us)
+                        query.client.refuse(query, retry_after_us)
                 case api.FailQuery(number):
                     if query := self.open_queries.get(number):
                         self._finish_query(query, "failed")
@@ -722,48 +747,57 @@
                 case api.SetTimer(token, at_us):
                     self.timers.schedule(at_us, lambda token=token: self._handle_event(api.TimerFired(token)))  # type: ignore[misc]
                 case api.WatchEngineList():
-                    pass  # the bulletin comes by itself
+                    pass  # the bulletin client follows the list all the time
 
     def _send_attempt(self, number: int, engine: str, timeout_us: int, begin_by_us: int | None) -> None:
         query = self.open_queries.get(number)
         if query is None:
-            self.log.line("module", f"a send for query {number}, which is over")
+            self.log.line("module", f"a send for query {number}, which has finished")
             return
-        limit = query.deadline_us if timeout_us == 0 else min(query.deadline_us, self.now_us + timeout_us)
-        alone = query.statement.class_name in self.non_repeatable_classes
-        attempt = Attempt(query, query.attempts_started, engine, self.now_us, limit, begin_by_us, alone)
+        deadline_us = (
+            query.deadline_us if timeout_us == 0 else min(query.deadline_us, self.now_us + timeout_us)
+        )
+        exclusive = query.statement.class_name in self.non_repeatable_classes
+        attempt = Attempt(
+            query, query.attempts_started, engine, self.now_us, deadline_us, begin_by_us, exclusive
+        )
         query.attempts_started += 1
         query.open_attempts[attempt.number] = attempt
         self.open_attempts[number, attempt.number] = attempt
-        spent = self.max_attempts is not None and query.attempts_started > self.max_attempts
-        # The module decides at the time of an event, which may have waited here; the client may have gone
-        # since. What does not hold now does not begin.
-        by = limit if begin_by_us is None else min(limit, begin_by_us)
-        if spent or self.clock.now_us() >= by or self._client_has_left(query):
+        is_over_limit = self.max_attempts is not None and query.attempts_started > self.max_attempts
+        # The policy decided for the time of the event, which may have waited in the queue. Check again that
+        # there is time left and the client is still there.
+        latest_start_us = deadline_us if begin_by_us is None else min(deadline_us, begin_by_us)
+        if is_over_limit or self.clock.now_us() >= latest_start_us or self._client_has_left(query):
             self.inbox.put(AttemptResult(attempt, api.Outcome.NOT_STARTED))
             return
         self.counters.add("attempts", "sent")
         if self.timeline is not None:
             statement = query.statement
             estimate_us = None if statement.work_ms is None else statement.work_ms * 1000
-            what = engine, number, attempt.number, statement.class_name, estimate_us
-            self._record(self.timeline.record_sent, self.now_us, *what)
-        if limit < query.deadline_us:
-            attempt.timeout_timer = self.timers.schedule(limit, lambda: self._on_attempt_timeout(attempt))
+            details = engine, number, attempt.number, statement.class_name, estimate_us
+            self._record(self.timeline.record_sent, self.now_us, *details)
+        if deadline_us < query.deadline_us:
+            attempt.timeout_timer = self.timers.schedule(
+                deadline_us, lambda: self._on_attempt_timeout(attempt)
+            )
         self.engines.send(attempt)
 
     def _client_has_left(self, query: Query) -> bool:
-        """Whether the client has gone. One that has only just asked is not looked for: each look costs a
-        system call, and the session would have read its end by the next turn."""
+        """Whether the client has disconnected.
+
+        The client of a new query is not checked: the check costs a system call, and the session would have
+        read the end of the connection by the next turn of the loop.
+        """
         if query.client_left:
             return True
-        fresh = (
+        is_new = (
             query.attempts_started == 1
             and self.clock.now_us() - query.received_us < self.limits.new_query_grace_us
         )
-        return not fresh and query.client.has_left(query)
+        return not is_new and query.client.has_left(query)
 
-    def _set_terms(self, number: int, grant_mb: float, priority: int) -> None:
+    def _set_grant_and_priority(self, number: int, grant_mb: float, priority: int) -> None:
         query = self.open_queries.get(number)
         if query is None:
             return
--- a/whintrail/gateway/links.py
+++ b/whintrail/gateway/links.py
@@ -1,7 +1,7 @@
-"""Connections to engines: attempts and probes out, answers, notes and pages in.
+"""Links, the connections to engines: they send attempts and probes and receive answers, updates and pages.
 
-Every attempt and probe gets one end, put on the owner's queue. What may have reached an engine ends as reset
-when its connection breaks; what never did as a failed connect.
+Every attempt and probe gets exactly one result on the dispatcher's inbox. When a connection breaks, requests
+that may have reached the engine end with RESET, and requests that were never sent with CONNECT_FAILED.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from typing import NoReturn
 
 from whintrail import interface as api
-from whintrail.gateway import engine_protocol as lines
+from whintrail.gateway import engine_protocol
 from whintrail.gateway.buffer import Buffer
 from whintrail.gateway.connection import Connection, configure_socket, create_tcp_socket, parse_address
 from whintrail.gateway.counters import Counters
@@ -37,29 +37,32 @@
     "crashed": api.Outcome.ERROR,
     "nobody": api.Outcome.NOT_STARTED,
 }
+IDLE_CLOSE_FRACTION = 0.9  # of the idle timeout, so that the engine does not close first
 ReportReader = Callable[[dict[str, float]], api.LoadReport]
 
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """An attempt on its link, and the pages of its result so far."""
+    """An attempt on its link, with the pages of its result received so far."""
 
     attempt: Attempt
-    page_count: int = 0  # pages; 0 until it is served
+    page_count: int = 0  # 0 until the engine answers `served`
     pages: dict[int, Rows] = field(default_factory=dict)
-    served_answer: lines.Answer | None = None
-    has_started: bool = False  # the engine has said so, by a note or an answer
+    served_answer: engine_protocol.Answer | None = None
+    has_started: bool = False  # an update or answer showed that it runs or ran
 
 
 @dataclass(slots=True, eq=False)
 class PendingProbe:
+    """A probe that waits for its answer."""
+
     engine: str
     sent_us: int
     over: bool = False
 
 
 class Link:
-    """One connection to an engine, from the first try to connect to its end."""
+    """One connection to an engine, from the connect to the close."""
 
     def __init__(self, pool: "LinkPool", engine: str, engine_address: str, exclusive: bool) -> None:
         self.pool, self.engine, self.engine_address, self.exclusive = pool, engine, engine_address, exclusive
@@ -68,19 +71,22 @@
         self.probes: dict[bytes, PendingProbe] = {}
         self.connection: Connection | None = None
         self.idle_since_s = pool.now_s()
-        self.last_received_us = pool.inbox.clock.now_us()  # when its last bytes came
-        self.partial_since_us: int | None = None  # since when an answer is not whole
+        self.last_received_us = pool.inbox.clock.now_us()
+        self.partial_since_us: int | None = None  # first byte of an incomplete answer
         self.closing = False
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     @property
     def busy(self) -> bool:
+        """Whether attempts or probes are open on the link."""
         return bool(self.in_flight or self.probes)
 
     def can_carry(self, attempt: Attempt, share: bool) -> bool:
+        """Whether an attempt may be sent on the link; `share` allows it on an exclusive link in use."""
         if not self.in_flight:
             if self.connection is not None and self.connection.peer_closed():
-                self.retire()  # reset while idle: what is put on it would be lost, and may not be repeated
+                # The engine has closed it while idle. A request would be lost, and may not be repeatable.
+                self.retire()
         elif self.exclusive and not share:
             return False
         if self.has_stalled_answer():
@@ -91,15 +97,18 @@
             or self in attempt.query.used_links
         ):
             return False
-        # What is put behind bytes that the engine does not read would go out whenever it reads on: after a
-        # drain was told, or long after its client has gone, with its undo only behind it.
-        blocked = self.connection is not None and self.connection.blocked_since is not None
-        return not blocked and attempt.query.statement.call_id not in self.in_flight
+        # A request queued behind bytes that the engine does not read would be sent whenever it reads on:
+        # perhaps after it began to drain, or long after the client has gone, with the `undo` only behind it.
+        is_blocked = self.connection is not None and self.connection.blocked_since is not None
+        return not is_blocked and attempt.query.statement.call_id not in self.in_flight
 
     def has_stalled_answer(self) -> bool:
-        """Whether an answer stands half read that may never end: what is put on the link meanwhile ends with
-        it, as what may have run. Where nothing is open none is due, so the first half line says so; else
-        one that comes in pieces has a quarter of the time in which it must be whole."""
+        """Whether a partial answer on the link may never be completed.
+
+        New requests on such a link would fail with it, as requests that may have run. On an idle link no
+        answer is expected, so any partial line counts. Otherwise an answer may take up to a quarter of the
+        partial answer timeout.
+        """
         if self.partial_since_us is None:
             return False
         if not self.busy:
@@ -110,17 +119,21 @@
             > self.limits.partial_answer_timeout_us // 4
         )
 
-    # --- Out.
+    # --- Requests.
 
     def send(self, attempt: Attempt) -> None:
+        """Send an attempt, or keep it until the connection is established."""
         attempt.query.used_links.append(self)
         self.in_flight[attempt.query.statement.call_id] = InFlightAttempt(attempt)
         if self.connection is not None:
             self._write_query(attempt)
 
     def _start_attempt(self, attempt: Attempt) -> None:
-        """The connection has come up, late perhaps. The first byte goes out only if what the module chose by
-        still holds: the engine may be draining or gone by now, the client too, a window may be over."""
+        """Send an attempt that waited for the connection, if the reasons for choosing it still hold.
+
+        Meanwhile the engine may have begun to drain or left the list, the client may have gone, or the latest
+        time to start may have passed.
+        """
         if not self.pool.may_start(attempt):
             self.pool.counters.add("attempts", "not_begun")
             self._finish_attempt(
@@ -138,29 +151,32 @@
             fields["pool"] = f"{query.grant_mb:g}"
         if query.priority is not None:
             fields["band"] = str(query.priority)
-        self._write(lines.encode_do(query.statement.call_id, fields, query.statement.text))
+        self._write(engine_protocol.encode_do(query.statement.call_id, fields, query.statement.text))
 
     def send_probe(self, tag: bytes, probe: PendingProbe) -> None:
+        """Send a probe, or keep it until the connection is established."""
         self.probes[tag] = probe
         if self.connection is not None:
-            self._write(lines.encode_probe(tag, self.pool.with_report))
+            self._write(engine_protocol.encode_probe(tag, self.pool.with_report))
 
     def cancel(self, attempt: Attempt) -> None:
-        carried = self.in_flight.get(attempt.query.statement.call_id)
-        if carried is None or carried.attempt is not attempt:
+        """Drop an attempt, and tell the engine to stop or forget it. No effect if it is not on this link."""
+        in_flight = self.in_flight.get(attempt.query.statement.call_id)
+        if in_flight is None or in_flight.attempt is not attempt:
             return
         self._remove_attempt(attempt.query.statement.call_id)
         if self.connection is not None:
-            make = lines.encode_forget if carried.served_answer else lines.encode_undo
-            self._write(make(attempt.query.statement.call_id))
+            encode = engine_protocol.encode_forget if in_flight.served_answer else engine_protocol.encode_undo
+            self._write(encode(attempt.query.statement.call_id))
             if self.is_silent_since(attempt.sent_us):
                 self.retire()
 
     def update_priority(self, attempt: Attempt) -> None:
-        carried = self.in_flight.get(attempt.query.statement.call_id)
-        unsent = self.connection is None or carried is None or carried.attempt is not attempt
-        if not unsent and attempt.query.priority is not None:
-            self._write(lines.encode_bump(attempt.query.statement.call_id, attempt.query.priority))
+        """Send the query's new priority. No effect if the attempt is not on this link."""
+        in_flight = self.in_flight.get(attempt.query.statement.call_id)
+        is_unsent = self.connection is None or in_flight is None or in_flight.attempt is not attempt
+        if not is_unsent and attempt.query.priority is not None:
+            self._write(engine_protocol.encode_bump(attempt.query.statement.call_id, attempt.query.priority))
 
     def _write(self, data: bytes) -> None:
         if self.connection is not None:
@@ -172,19 +188,25 @@
             self.idle_since_s = self.pool.now_s()
 
     def is_silent_since(self, sent_us: int) -> bool:
-        """No byte for longer than what runs goes without a sign: the link may be dead, though it stands."""
-        heard_us = max(self.last_received_us, sent_us)
-        return self.pool.inbox.clock.now_us() - heard_us > self.limits.link_silence_timeout_us
+        """Whether nothing was received for longer than a running request stays silent.
+
+        The connection may then be dead although it is still established.
+        """
+        silent_since_us = max(self.last_received_us, sent_us)
+        return self.pool.inbox.clock.now_us() - silent_since_us > self.limits.link_silence_timeout_us
 
     def retire(self) -> None:
-        """The link takes nothing new, and closes once nothing is open on it."""
+        """Accept no new requests; the link closes once nothing is open on it."""
         if not self.closing:
             self.closing = True
             self.pool.counters.add("links", "retired")
 
     def check_health(self, now_us: int) -> None:
-        """Guard against links that stand but can no longer be trusted: one that went quiet in the middle of
-        an answer ends with all that is open on it; one quiet while requests are open takes no new ones."""
+        """Close or retire a link that is established but no longer reliable.
+
+        A link that stalls within an answer, or whose writes are blocked, is closed, and all requests on it
+        fail. A link that is silent while requests are open is retired.
+        """
         if (
             self.partial_since_us is not None
             and now_us - self.partial_since_us > self.limits.partial_answer_timeout_us
@@ -204,52 +226,53 @@
             self.close()
 
     def is_write_blocked(self, now_us: int) -> bool:
-        """The engine has read nothing for long, though bytes wait for it."""
-        since = self.connection.blocked_since if self.connection is not None else None
+        """Whether the engine has read nothing for a while although bytes are waiting to be sent."""
+        blocked_since_s = self.connection.blocked_since if self.connection is not None else None
         return (
-            since is not None
-            and (self.pool.loop.time() - since) * 1e6 > self.limits.partial_answer_timeout_us
+            blocked_since_s is not None
+            and (self.pool.loop.time() - blocked_since_s) * 1e6 > self.limits.partial_answer_timeout_us
         )
 
     def close(self) -> None:
-        """The link takes nothing more; what is open on it ends as its connection does."""
+        """Close the link; requests that are open on it fail."""
         self.closing = True
         self.task.cancel()
 
-    # --- Life.
+    # --- Connection.
 
     async def _run(self) -> None:
         sock: socket.socket | None = None
-        lost = api.Outcome.CONNECT_FAILED
+        failure = api.Outcome.CONNECT_FAILED
         try:
-            sock = create_tcp_socket()  # fails where descriptors have run out
+            sock = create_tcp_socket()  # fails if no descriptors are left
             loop = asyncio.get_running_loop()
             async with asyncio.timeout(self.limits.connect_timeout_s):
                 await loop.sock_connect(sock, parse_address(self.engine_address))
             configure_socket(sock)
-            most = max(
+            max_buffer_bytes = max(
                 self.limits.link_buffer_bytes,
-                self.limits.engine_line_bytes + self.limits.page_bytes + len(lines.LINE_END),
+                self.limits.engine_line_bytes + self.limits.page_bytes + len(engine_protocol.LINE_END),
             )
-            self.connection = Connection(sock, Buffer(self.limits.link_buffer_bytes, most))
-            lost = api.Outcome.RESET
-            for carried in list(self.in_flight.values()):
-                self._start_attempt(carried.attempt)
+            self.connection = Connection(sock, Buffer(self.limits.link_buffer_bytes, max_buffer_bytes))
+            failure = api.Outcome.RESET
+            for in_flight in list(self.in_flight.values()):
+                self._start_attempt(in_flight.attempt)
             for tag in self.probes:
-                self._write(lines.encode_probe(tag, self.pool.with_report))
-            received = 0
+                self._write(engine_protocol.encode_probe(tag, self.pool.with_report))
+            receive_count = 0
             while await self.connection.receive():
                 self._read_answers(self.connection.buffer)
-                received += 1
-                if received % self.limits.receives_per_turn == 0:  # an engine that never stops sending
+                receive_count += 1
+                # Let other tasks run, even if the engine never stops sending.
+                if receive_count % self.limits.receives_per_turn == 0:
                     await asyncio.sleep(0)
-        except lines.FramingError as error:
+        except engine_protocol.FramingError as error:
             self.pool.log.line("engine", f"{self.engine} at {self.engine_address}: {error}; link closed")
         except (OSError, ValueError, TimeoutError):
-            pass  # no connection, or none in time
+            pass  # connecting failed or timed out
         finally:
             self.closing = True
-            self._fail_open_requests(lost)
+            self._fail_open_requests(failure)
             self.pool.remove_link(self)
             if self.connection is not None:
                 await self.connection.close()
@@ -258,26 +281,28 @@
 
     def _fail_open_requests(self, outcome: api.Outcome) -> None:
         self.pool.counters.add("links", "failed" if outcome is api.Outcome.CONNECT_FAILED else "ended")
-        for carried in self.in_flight.values():
-            self.pool.inbox.put(AttemptResult(carried.attempt, outcome))
+        for in_flight in self.in_flight.values():
+            self.pool.inbox.put(AttemptResult(in_flight.attempt, outcome))
         for probe in self.probes.values():
             self.pool.finish_probe(probe, outcome)
         self.in_flight.clear()
         self.probes.clear()
 
-    # --- In.
+    # --- Answers.
 
     def _read_answers(self, buffer: Buffer) -> None:
-        self.last_received_us, whole = self.pool.inbox.clock.now_us(), False
-        while answer := lines.read_answer(buffer, self.limits.engine_line_bytes, self.limits.page_bytes):
+        self.last_received_us, has_answer = self.pool.inbox.clock.now_us(), False
+        while answer := engine_protocol.read_answer(
+            buffer, self.limits.engine_line_bytes, self.limits.page_bytes
+        ):
             self._on_answer(answer)
-            whole = True
+            has_answer = True
         if not len(buffer):
             self.partial_since_us = None
-        elif whole or self.partial_since_us is None:
+        elif has_answer or self.partial_since_us is None:
             self.partial_since_us = self.last_received_us
 
-    def _on_answer(self, answer: lines.Answer) -> None:
+    def _on_answer(self, answer: engine_protocol.Answer) -> None:
         if answer.word in ("green", "red"):
             probe = self.probes.pop(answer.id, None)
             if probe is not None:
@@ -286,44 +311,48 @@
                 outcome = api.Outcome.OK if answer.word == "green" else api.Outcome.ERROR
                 self.pool.finish_probe(probe, outcome, self.pool.load_report(answer))
             return
-        carried = self.in_flight.get(answer.id)
-        if carried is None:  # late: nobody waits for it any more
+        in_flight = self.in_flight.get(answer.id)
+        if in_flight is None:  # late: the attempt has ended
             self.pool.counters.add("answers", "late")
             return
         match answer.word:
             case "update":
-                self._on_update(carried, answer)
+                self._on_update(in_flight, answer)
             case "served":
-                self._on_served(carried, answer)
+                self._on_served(in_flight, answer)
             case "rows":
-                self._on_rows(carried, answer)
+                self._on_rows(in_flight, answer)
             case word:
-                # An engine that contradicts itself is not believed that nothing ran: work that may run only
-                # once would be sent again, or its client told to.
-                outcome = api.Outcome.ERROR if carried.has_started else ANSWER_OUTCOMES[word]
+                # If the engine showed before that the query runs, an answer that says it did not is not
+                # trusted: a query that may run only once would be sent again.
+                outcome = api.Outcome.ERROR if in_flight.has_started else ANSWER_OUTCOMES[word]
                 self._finish_attempt(
-                    carried, AttemptResult(carried.attempt, outcome, report=self.pool.load_report(answer))
+                    in_flight, AttemptResult(in_flight.attempt, outcome, report=self.pool.load_report(answer))
                 )
 
-    def _on_update(self, in_flight: InFlightAttempt, answer: lines.Answer) -> None:
+    def _on_update(self, in_flight: InFlightAttempt, answer: engine_protocol.Answer) -> None:
         topic, value = UPDATE_TOPICS.get(answer.fields.get("how", "")), answer.number("datum")
         in_flight.has_started |= topic in (api.StatusTopic.PROGRESS, api.StatusTopic.SPILL)
         if topic is not None and value is not None:
             self.pool.inbox.put(AttemptUpdate(in_flight.attempt, topic, value))
 
-    def _on_served(self, in_flight: InFlightAttempt, answer: lines.Answer) -> None:
-        if in_flight.served_answer is not None:  # a second copy, while pages are on their way
+    def _on_served(self, in_flight: InFlightAttempt, answer: engine_protocol.Answer) -> None:
+        if in_flight.served_answer is not None:  # a duplicate, while further pages are outstanding
             self._check_duplicate_page(in_flight, 0, answer.body)
             return
-        total = answer.number("total") if "total" in answer.fields else 1
-        if total is None or not 1 <= total <= self.limits.result_pages or total != int(total):
+        page_count = answer.number("total") if "total" in answer.fields else 1
+        if (
+            page_count is None
+            or not 1 <= page_count <= self.limits.result_pages
+            or page_count != int(page_count)
+        ):
             self._reject_answer(in_flight, f"served with {answer.fields.get('total')} pages")
-        in_flight.served_answer, in_flight.page_count, in_flight.has_started = answer, int(total), True
+        in_flight.served_answer, in_flight.page_count, in_flight.has_started = answer, int(page_count), True
         if self._store_page(in_flight, 0, answer.body) and in_flight.page_count > 1:
             for number in range(1, in_flight.page_count):
-                self._write(lines.encode_page(answer.id, number))
+                self._write(engine_protocol.encode_page(answer.id, number))
 
-    def _on_rows(self, in_flight: InFlightAttempt, answer: lines.Answer) -> None:
+    def _on_rows(self, in_flight: InFlightAttempt, answer: engine_protocol.Answer) -> None:
         number = answer.number("index")
         if number is None or number != int(number) or not 1 <= number < in_flight.page_count:
             self._reject_answer(in_flight, f"page {answer.fields.get('index')} of {in_flight.page_count}")
@@ -333,17 +362,17 @@
             self._store_page(in_flight, int(number), answer.body)
 
     def _check_duplicate_page(self, in_flight: InFlightAttempt, number: int, page: bytes) -> None:
-        """A surplus copy of a page harms nothing; of two that differ, nobody knows which is right."""
+        """Ignore an identical copy of a page; reject the answer if the copies differ."""
         self.pool.counters.add("answers", "surplus")
         try:
-            same = encode_data_rows(page).data == in_flight.pages[number].data
+            is_identical = encode_data_rows(page).data == in_flight.pages[number].data
         except ValueError:
-            same = False
-        if not same:
-            self._reject_answer(in_flight, f"page {number} twice, and not alike")
+            is_identical = False
+        if not is_identical:
+            self._reject_answer(in_flight, f"page {number}: two copies differ")
 
     def _store_page(self, in_flight: InFlightAttempt, number: int, page: bytes) -> bool:
-        """Keep a page; the last one ends the attempt. False if nothing more is to come of it."""
+        """Store a page, and finish the attempt with the last one; returns whether pages are missing."""
         try:
             in_flight.pages[number] = encode_data_rows(page)
         except ValueError as error:
@@ -353,8 +382,8 @@
         served = in_flight.served_answer
         assert served is not None
         if in_flight.page_count > 1:
-            self._write(lines.encode_forget(served.id))
-        ended = AttemptResult(
+            self._write(engine_protocol.encode_forget(served.id))
+        result = AttemptResult(
             in_flight.attempt,
             api.Outcome.OK,
             work_ms=served.number("elapsed") if self.pool.reports_cost else None,
@@ -363,15 +392,17 @@
             pages=[in_flight.pages[n] for n in range(in_flight.page_count)],
         )
         self.pool.counters.add("answers", "pages", in_flight.page_count)
-        self.pool.counters.add("answers", "rows", sum(page.count for page in ended.pages or []))
-        self._finish_attempt(in_flight, ended)
+        self.pool.counters.add("answers", "rows", sum(page.count for page in result.pages or []))
+        self._finish_attempt(in_flight, result)
         return False
 
     def _reject_answer(self, in_flight: InFlightAttempt, reason: str) -> NoReturn:
-        """An answer that can't be used though its framing holds: the attempt failed, and may have run. What
-        spoilt it spoils the link: nothing that follows on it can be trusted."""
+        """Fail an attempt with an invalid answer, as one that may have run, and close the link.
+
+        The framing is intact, but nothing that follows an invalid answer can be trusted.
+        """
         self._finish_attempt(in_flight, AttemptResult(in_flight.attempt, api.Outcome.ERROR))
-        raise lines.FramingError(reason)
+        raise engine_protocol.FramingError(reason)
 
     def _finish_attempt(self, in_flight: InFlightAttempt, result: AttemptResult) -> None:
         self._remove_attempt(in_flight.attempt.query.statement.call_id)
@@ -379,7 +410,7 @@
 
 
 class LinkPool:
-    """All links to all engines: opened as needed within the descriptors, closed when idle."""
+    """The links to all engines: opened as needed within the limit on descriptors, closed when idle."""
 
     def __init__(
         self,
@@ -393,8 +424,8 @@
         self.limits, self.inbox, self.counters, self.log = limits, inbox, counters, log
         self.read_report, self.reports_cost = read_report, reports_cost
         self.with_report = read_report is not None
-        self.addresses: dict[str, str] = {}  # addresses of the engines on the list
-        self.draining: set[str] = set()  # those of them that are draining
+        self.addresses: dict[str, str] = {}  # of the engines on the list
+        self.draining: set[str] = set()  # engines of the list that take no new attempts
         self.links: dict[str, list[Link]] = {}
         self.last_probe_number = 0
         self.loop = asyncio.get_running_loop()
@@ -403,15 +434,16 @@
     def now_s(self) -> float:
         return self.inbox.clock.now_us() / 1e6
 
-    def load_report(self, answer: lines.Answer) -> api.LoadReport | None:
+    def load_report(self, answer: engine_protocol.Answer) -> api.LoadReport | None:
+        """The load report that comes with an answer, if any."""
         if self.read_report is None or "stats" not in answer.fields:
             return None
         return self.read_report(answer.stats())
 
-    # --- For the owner.
+    # --- EngineTransport, for the dispatcher.
 
     def apply_engine_list(self, update: EngineListUpdate) -> None:
-        """Addresses of listed engines; an engine that has gone gets no new links."""
+        """Apply a list update; close idle links to engines that have left the list."""
         if update.event.kind is not api.ListKind.DELTA:
             self.addresses.clear()
             self.draining.clear()
@@ -430,8 +462,9 @@
                         link.close()
 
     def send(self, attempt: Attempt) -> None:
+        """Send an attempt on a usable link or a new one; without descriptors for one, share a link."""
         link = self._find_link(attempt, share=False) or self._open_link(attempt.engine, attempt.exclusive)
-        if link is None and attempt.engine in self.addresses:  # as many links as the descriptors allow
+        if link is None and attempt.engine in self.addresses:  # the limit on connections is reached
             link = self._find_link(attempt, share=True)
         if link is None:
             self.inbox.put(AttemptResult(attempt, api.Outcome.CONNECT_FAILED))
@@ -439,11 +472,13 @@
             link.send(attempt)
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Whether an attempt may still begin, at the time of its first byte."""
-        now, query = self.inbox.clock.now_us(), attempt.query
-        late = now >= attempt.deadline_us or (attempt.begin_by_us is not None and now >= attempt.begin_by_us)
-        listed = attempt.engine in self.addresses and attempt.engine not in self.draining
-        return listed and not late and not query.client_left and not query.client.has_left(query)
+        """Whether an attempt may still start; checked right before its first byte is sent."""
+        now_us, query = self.inbox.clock.now_us(), attempt.query
+        is_late = now_us >= attempt.deadline_us or (
+            attempt.begin_by_us is not None and now_us >= attempt.begin_by_us
+        )
+        is_listed = attempt.engine in self.addresses and attempt.engine not in self.draining
+        return is_listed and not is_late and not query.client_left and not query.client.has_left(query)
 
     def _find_link(self, attempt: Attempt, share: bool) -> Link | None:
         for link in self.links.get(attempt.engine, ()):
@@ -452,16 +487,23 @@
         return None
 
     def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt on the link that carries it."""
         for link in attempt.query.used_links:
             link.cancel(attempt)
 
     def update_priority(self, attempt: Attempt) -> None:
+        """Send the query's new priority on the link that carries the attempt."""
         for link in attempt.query.used_links:
             link.update_priority(attempt)
 
     def probe(self, engine: str) -> None:
+        """Probe an engine, on a shared link if one is open."""
         probe = PendingProbe(engine, self.inbox.clock.now_us())
-        usable = (k for k in self.links.get(engine, ()) if not (k.closing or k.exclusive))
+        usable = (
+            open_link
+            for open_link in self.links.get(engine, ())
+            if not (open_link.closing or open_link.exclusive)
+        )
         link = next(usable, None) or self._open_link(engine, exclusive=False)
         if link is None:
             self.finish_probe(probe, api.Outcome.CONNECT_FAILED)
@@ -474,29 +516,32 @@
     def _on_probe_timeout(self, link: Link, tag: bytes) -> None:
         if probe := link.probes.pop(tag, None):
             if link.last_received_us < probe.sent_us:
-                link.retire()  # the next one asks on a new link, lest a dead one speak for the engine
+                # Only this connection may be dead rather than the engine: the next probe uses a new link.
+                link.retire()
             self.finish_probe(probe, api.Outcome.TIMEOUT)
 
     def finish_probe(
         self, probe: PendingProbe, outcome: api.Outcome, report: api.LoadReport | None = None
     ) -> None:
+        """Put the result of a probe on the inbox."""
         self.inbox.put(ProbeResult(probe.engine, outcome, probe.sent_us, report))
 
-    # --- Links come and go.
+    # --- Opening and closing links.
 
     def _open_link(self, engine: str, exclusive: bool) -> Link | None:
-        where = self.addresses.get(engine)
-        if where is None:
+        address = self.addresses.get(engine)
+        if address is None:
             return None
         if sum(map(len, self.links.values())) >= self.limits.engine_connections:
             self.log.line("links", "as many links to engines as the descriptors allow")
             return None
-        link = Link(self, engine, where, exclusive)
+        link = Link(self, engine, address, exclusive)
         self.links.setdefault(engine, []).append(link)
         self.counters.add("links", "opened")
         return link
 
     def remove_link(self, link: Link) -> None:
+        """Forget a link whose task has ended."""
         links = self.links.get(link.engine, [])
         if link in links:
             links.remove(link)
@@ -504,17 +549,21 @@
             self.links.pop(link.engine, None)
 
     async def _sweep_links(self) -> None:
-        """Look after every link; close those that are idle for long, a little before the engine would."""
+        """Check all links periodically; close idle ones a little before the engine would."""
         while True:
             await asyncio.sleep(self.limits.sweep_interval_s)
-            now_us, before = self.inbox.clock.now_us(), self.now_s() - self.limits.link_idle_timeout_s * 0.9
-            for link in [k for links in self.links.values() for k in links]:
+            now_us, idle_before_s = (
+                self.inbox.clock.now_us(),
+                self.now_s() - self.limits.link_idle_timeout_s * IDLE_CLOSE_FRACTION,
+            )
+            for link in [open_link for links in self.links.values() for open_link in links]:
                 link.check_health(now_us)
-                gone = link.engine not in self.addresses
-                if not link.busy and (gone or link.idle_since_s < before):
+                is_unlisted = link.engine not in self.addresses
+                if not link.busy and (is_unlisted or link.idle_since_s < idle_before_s):
                     link.close()
 
     async def close(self) -> None:
+        """Close all links and wait for their tasks."""
         self.sweep_task.cancel()
         tasks = [link.task for links in self.links.values() for link in links]
         for task in tasks:
--- a/whintrail/gateway/service.py
+++ b/whintrail/gateway/service.py
@@ -1,4 +1,4 @@
-"""The program: start from the configuration, serve, stop."""
+"""The gateway program: starts from its configuration, serves, reloads and stops."""
 
 import asyncio
 import gc
@@ -30,14 +30,17 @@
     from whintrail.gateway.fleet import FleetService
     from whintrail.timeline.recorder import Recorder
 
-DEFAULT_NAME = "whintrail"  # until the configuration gives one
+DEFAULT_NAME = "whintrail"  # if the configuration has no name
+MAX_GATEWAYS = 0x10000
+LAST_ANSWERS_S = 0.15  # for clients to read the answers of queries that were failed at the end
 
 
 class StartError(Exception):
-    """The program can't start."""
+    """The gateway can't start; the text says why."""
 
 
 def read_config(environment: Mapping[str, str]) -> dict[str, Any]:
+    """Read the JSON configuration; the environment overrides its address and name. Errors: StartError."""
     path = environment.get("RELAY_CONFIG")
     if not path:
         raise StartError("RELAY_CONFIG names no configuration")
@@ -47,13 +50,16 @@
     except (OSError, orjson.JSONDecodeError) as error:
         raise StartError(f"can't read the configuration {path}: {error}") from error
     if not isinstance(config, dict):
-        raise StartError(f"the configuration {path} is no object")
+        raise StartError(f"the configuration {path} is not a JSON object")
     listen = environment.get("RELAY_LISTEN") or config.get("listen")
     return {**config, "listen": listen, "name": environment.get("RELAY_NAME") or config.get("name")}
 
 
 def load_operator_file(environment: Mapping[str, str]) -> "OperatorFile | None":
-    """The operator's file, where the environment names one; what reads it is imported only then."""
+    """Load the operator's file if the environment names one. Errors: StartError.
+
+    The modules that read it are imported only then.
+    """
     path = environment.get("WHINTRAIL_FILE")
     if not path:
         return None
@@ -68,6 +74,8 @@
 
 
 class Service:
+    """All parts of a gateway, wired together from the configuration."""
+
     def __init__(self, config: Mapping[str, Any], environment: Mapping[str, str]) -> None:
         self.environment = environment
         self.counters = Counters()
@@ -77,7 +85,7 @@
             self.name = str(get_or_default(config, "name", DEFAULT_NAME))
             self.log = self._open_log(self.name)
             settings = replace(read_settings(config["settings"]), max_open=self.limits.open_queries)
-            if not settings.classes:  # it would fail every query, one by one
+            if not settings.classes:  # every query would fail
                 raise ValueError("settings without Classes")
             for cls in settings.classes:
                 check_class_name(cls.name)
@@ -114,35 +122,38 @@
         return Log(name, logging.burst, logging.per_second, logging.format == "json")
 
     def log_counters(self) -> None:
+        """Log all counters, one line per group."""
         if self.fleet is not None:
             self.fleet.add_node_counters()
         for group, counts in self.counters.groups():
             self.log.always(group, "counters", **counts)
 
     def reload(self) -> None:
-        """Take up a new configuration: the bulletin's address, and the operator's file. All else stays as it
-        was at the start; a file that can't be used changes nothing."""
+        """Apply a changed configuration: the bulletin's address and the operator's file.
+
+        All other settings stay as they were at the start. An invalid file changes nothing.
+        """
         self._reload_operator_file()
         try:
-            where = parse_address(read_config(self.environment)["bulletin"])
+            bulletin_address = parse_address(read_config(self.environment)["bulletin"])
         except (StartError, KeyError, TypeError, ValueError, AttributeError) as error:
             self.counters.add("configuration", "refused")
             self.log.line("configuration", f"the old one stays in force: {type(error).__name__}: {error}")
             return
         self.counters.add("configuration", "taken")
-        self.log.line("configuration", f"taken, bulletin at {where[0]}:{where[1]}")
-        self.bulletin.change_address(where)
+        self.log.line("configuration", f"taken, bulletin at {bulletin_address[0]}:{bulletin_address[1]}")
+        self.bulletin.change_address(bulletin_address)
 
     def _open_timeline(self, settings: Settings) -> "Recorder | None":
-        """The time line, where the operator's file asks for one; what keeps it is imported only then."""
+        """Start the timeline if the operator's file has one; its modules are imported only then."""
         if self.operator_file is None or self.operator_file.timeline is None:
             return None
         try:
             from whintrail.timeline.recorder import Recorder
         except ModuleNotFoundError as error:
-            raise StartError(f"the time line needs {error.name}: see requirements-operator.txt") from error
+            raise StartError(f"the timeline needs {error.name}: see requirements-operator.txt") from error
         classes = tuple(cls.name for cls in settings.classes)
-        keeper = Recorder(
+        recorder = Recorder(
             self.operator_file,
             self.operator_file.timeline,
             self.name,
@@ -152,25 +163,29 @@
             self.counters,
             self.log,
         )
-        self.dispatcher.attach_timeline(keeper.timeline, keeper.tick, self.limits.timeline_interval_us)
-        return keeper
+        self.dispatcher.attach_timeline(recorder.timeline, recorder.tick, self.limits.timeline_interval_us)
+        return recorder
 
     def _open_subset(self, settings: Settings) -> None:
-        """The part of the engines that we keep, where the operator's file asks for parts; else all."""
+        """Restrict the gateway to a subset of the engines if the operator's file asks for it."""
         if self.operator_file is None or self.operator_file.subset is None:
             return
         from whintrail.gateway.subset import PlanError, SubsetService, read_plan
 
-        owner, asked = self.dispatcher, self.operator_file.subset
+        dispatcher, config = self.dispatcher, self.operator_file.subset
+
+        def is_idle(engine: str) -> bool:
+            return not dispatcher.count_open_attempts(engine)
+
         try:
-            free, batch_us = lambda engine: not owner.count_open_attempts(engine), asked.batch_ms * 1000
-            subset = SubsetService(read_plan(asked), settings, self.peers, free, batch_us)
+            batch_us = config.batch_ms * 1000
+            subset = SubsetService(read_plan(config), settings, self.peers, is_idle, batch_us)
         except PlanError as error:
             raise StartError(str(error)) from error
-        owner.attach_subset(subset, subset.tick_interval_us)
+        dispatcher.attach_subset(subset, subset.tick_interval_us)
 
     def _open_fleet(self, settings: Settings) -> "FleetService | None":
-        """The fleet, where the operator's file asks for one and gateways may talk; else it is off."""
+        """Start the fleet service if the operator's file has a fleet."""
         if self.operator_file is None or self.operator_file.fleet is None:
             return None
         if self.peers is None:
@@ -179,60 +194,61 @@
             from whintrail.gateway.fleet import FleetError, FleetService, build_node_config
         except ModuleNotFoundError as error:
             raise StartError(f"the fleet needs {error.name}: see requirements-operator.txt") from error
-        asked, peers = self.operator_file.fleet, self.peers
+        config, peers = self.operator_file.fleet, self.peers
         try:
             build = self.environment.get("WHINTRAIL_BUILD", "")
-            given = build_node_config(asked, settings, self.zones, len(peers.addresses), build)
+            node_config = build_node_config(config, settings, self.zones, len(peers.addresses), build)
         except FleetError as error:
             raise StartError(f"fleet: {error}") from error
         common = self.dispatcher, peers, self.counters, self.log
         return FleetService(
-            asked, given, lambda: self.bulletin.last_received_us, *common, self.stop_requested.set
+            config, node_config, lambda: self.bulletin.last_received_us, *common, self.stop_requested.set
         )
 
     def _apply_rules(self) -> None:
-        """The file's rules: in force at once where no versions are agreed on, else only compared."""
-        rules = self.operator_file.rules if self.operator_file is not None else None
+        """Apply the rules of the operator's file; if the fleet agrees on versions, only compare them."""
+        file_rules = self.operator_file.rules if self.operator_file is not None else None
         if self.fleet is not None and self.fleet.node.settings is not None:
-            if rules is not None:
-                self.fleet.compare_file_rules(rules)
+            if file_rules is not None:
+                self.fleet.compare_file_rules(file_rules)
             return
-        if rules is None and self.dispatcher.current_rules is None:
+        if file_rules is None and self.dispatcher.current_rules is None:
             return
         from whintrail.versions.rules import Rules, find_unsupported, parse_rules
 
-        body = parse_rules(rules or {})
-        if refused := find_unsupported(body, frozenset(self.dispatcher.class_deadlines_us), 0x10000):
+        rules = parse_rules(file_rules or {})
+        if error := find_unsupported(rules, frozenset(self.dispatcher.class_deadlines_us), MAX_GATEWAYS):
             self.counters.add("configuration", "refused")
-            self.log.line("configuration", f"the rules before stay in force: {refused}")
+            self.log.line("configuration", f"the previous rules stay in force: {error}")
             if self.dispatcher.current_rules is not None:
                 return
-            body = Rules()
+            rules = Rules()
         self.dispatcher.enable_fleet_accounting()
-        self.dispatcher.current_rules = lambda: body
+        self.dispatcher.current_rules = lambda: rules
 
     def _reload_operator_file(self) -> None:
         try:
-            given = load_operator_file(self.environment)
+            operator_file = load_operator_file(self.environment)
         except StartError as error:
             self.counters.add("configuration", "refused")
             self.log.line("configuration", f"the old operator's file stays in force: {error}")
             return
-        if given != self.operator_file:
-            self.operator_file = given
-            if given is not None:
-                logging = given.logging
+        if operator_file != self.operator_file:
+            self.operator_file = operator_file
+            if operator_file is not None:
+                logging = operator_file.logging
                 self.log.configure(logging.burst, logging.per_second, logging.format == "json")
-                if self.recorder is not None and given.timeline is not None:
-                    self.recorder.apply_settings(given.timeline)
+                if self.recorder is not None and operator_file.timeline is not None:
+                    self.recorder.apply_settings(operator_file.timeline)
             self._apply_rules()
             self.counters.add("configuration", "taken")
             self.log.line("configuration", "operator's file taken; sizes and places hold from the next start")
 
     async def run(self, early_hangups: Sequence[int] = ()) -> None:
+        """Serve until SIGTERM or SIGINT. Errors: StartError."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop_requested.set)
         loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if early_hangups:
@@ -245,10 +261,10 @@
             ) from error
         if self.peers is not None:
             self.peers.open()
-        owner = loop.create_task(self.dispatcher.run())
-        accepting = loop.create_task(self.sessions.accept())
+        dispatcher_task = loop.create_task(self.dispatcher.run())
+        accept_task = loop.create_task(self.sessions.accept())
         tasks = [
-            accepting,
+            accept_task,
             loop.create_task(self.bulletin.run()),
             loop.create_task(self.sessions.expire_sessions()),
         ]
@@ -260,18 +276,18 @@
         gc.freeze()
         gc.set_threshold(*self.limits.gc_thresholds)
         self.log.always(f"serves on {self.listen_address[0]}:{self.listen_address[1]}")
-        stopping: asyncio.Task[Any] = loop.create_task(self.stop_requested.wait())
-        await asyncio.wait([owner, stopping, *tasks], return_when=asyncio.FIRST_COMPLETED)
+        stop_task: asyncio.Task[Any] = loop.create_task(self.stop_requested.wait())
+        await asyncio.wait([dispatcher_task, stop_task, *tasks], return_when=asyncio.FIRST_COMPLETED)
         try:
-            if not self.stop_requested.is_set():  # only a fault ends one of these
-                for task in (owner, *tasks):
+            if not self.stop_requested.is_set():  # only a fault ends one of these tasks
+                for task in (dispatcher_task, *tasks):
                     if task.done():
                         task.result()
-            await self._shut_down(accepting)
+            await self._shut_down(accept_task)
         finally:
-            for task in (owner, stopping, *tasks):
+            for task in (dispatcher_task, stop_task, *tasks):
                 task.cancel()
-            await asyncio.gather(owner, stopping, *tasks, return_exceptions=True)
+            await asyncio.gather(dispatcher_task, stop_task, *tasks, return_exceptions=True)
             await self.sessions.close()
             await self.links.close()
             if self.fleet is not None:
@@ -283,7 +299,7 @@
             self.log_counters()
 
     async def _shut_down(self, accept_task: "asyncio.Task[None]") -> None:
-        """Go on taking in for a while, finish what is open, fail at last what would not be."""
+        """Accept for a short time, finish the open queries, and fail those that don't finish in time."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         self.log.always("stops")
@@ -295,7 +311,7 @@
         await asyncio.sleep(self.limits.accept_after_stop_s)
         self.sessions.stop_accepting()
         await asyncio.wait([accept_task], timeout=2 * self.limits.poll_interval_s)
-        accept_task.cancel()  # for kernels that don't tell it
+        accept_task.cancel()  # on some kernels the shutdown doesn't wake a pending accept
         with suppress(asyncio.CancelledError):
             await accept_task
         self.sessions.close_listener()
@@ -305,18 +321,24 @@
                 return
         self.inbox.put(Shutdown())
         await asyncio.sleep(self.limits.poll_interval_s)
-        while not self.sessions.close_idle() and loop.time() < start + self.limits.finish_after_stop_s + 0.15:
+        while (
+            not self.sessions.close_idle()
+            and loop.time() < start + self.limits.finish_after_stop_s + LAST_ANSWERS_S
+        ):
             await asyncio.sleep(self.limits.poll_interval_s)
 
 
 def main(early_hangups: list[int] | None = None) -> int:
-    """`early` takes the SIGHUPs that came before the loop handles them, where the caller has seen to them
-    since before this module was imported: none ends the program, and what they told of is read."""
+    """Run the gateway and return its exit status.
+
+    `early_hangups` collects the SIGHUPs that arrive before the event loop handles them, if the caller has
+    installed a handler before importing this module. They don't end the program; a reload follows the start.
+    """
     import uvloop
 
     if early_hangups is None:
         early_hangups = []
-        signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
+        signal.signal(signal.SIGHUP, lambda signal_number, _: early_hangups.append(signal_number))
     try:
         config = read_config(os.environ)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/whintrail/gateway/sessions.py
+++ b/whintrail/gateway/sessions.py
@@ -1,4 +1,4 @@
-"""Clients' sessions: start-up, queries one after another, answers, cancel requests."""
+"""Client sessions: the start-up, queries in sequence, their answers, and cancel requests."""
 
 import asyncio
 import secrets
@@ -26,6 +26,8 @@
 RESULT_COLUMNS = pg.row_description(["column1", "column2", "column3"])
 EXTENDED_PROTOCOL_MESSAGES = frozenset([b"P", b"B", b"D", b"E", b"C", b"H", b"F"])
 COPY_MESSAGES = frozenset([b"d", b"c", b"f"])
+CANCEL_REQUEST_BYTES = 16
+ACCEPT_RETRY_DELAY_S = 0.01
 CANCELED_TEXT = "canceling statement due to user request"
 
 
@@ -34,48 +36,52 @@
 
     def __init__(self, server: "SessionServer", sock: socket.socket, process_id: int, admitted: bool) -> None:
         self.server, self.process_id = server, process_id
-        self.admitted = admitted  # until then only a cancel request is taken
+        self.admitted = admitted  # before that, only a cancel request is processed
         self.limits, self.inbox, self.counters = server.limits, server.inbox, server.counters
         self.secret = secrets.randbits(32)
         buffer = Buffer(self.limits.initial_buffer_bytes, self.limits.query_bytes)
         self.connection = Connection(sock, buffer, self._on_all_sent)
-        self.open_query: Query | None = None  # open, without an answer
+        self.open_query: Query | None = None  # received and not yet answered
         self.answering = False  # an answer is being written
         self.answer_started_at = 0.0
         self.startup_done = False
-        self.has_sent_query = False  # a whole query has come
-        # When the first query, or a message that has begun, must be whole at the latest.
+        self.has_sent_query = False  # a complete query was received
+        # By when the first query, or a message that has begun, must be complete; None without one.
         self.receive_deadline: float | None = (
             self.now() + self.limits.query_receive_timeout_s if admitted else None
         )
-        self.skipping_to_sync = False  # until Sync, after an error in the extended protocol
-        self.ended_at: float | None = None  # from then on nothing is read from the client or owed to it
-        self.processing_scheduled = False  # more messages are to be taken in a later turn
-        self.cancel_next_query = False  # the cancel request came before the query that it is for was read
+        self.skipping_to_sync = False  # skip messages until Sync, after an error in the extended protocol
+        self.ended_at: float | None = None  # from then on input is discarded and no answer is sent
+        self.processing_scheduled = False  # further messages are processed in a later turn of the loop
+        self.cancel_next_query = False  # a cancel request arrived before its query was read
         self.resume_reading = asyncio.Event()
 
     def now(self) -> float:
+        """The event loop's time in seconds."""
         return self.server.loop.time()
 
     @property
     def ended(self) -> bool:
+        """Whether the session was half-closed or the client has left."""
         return self.ended_at is not None
 
     @property
     def idle(self) -> bool:
+        """Whether no query is open, no answer is being written and no input is buffered."""
         return (
             self.open_query is None and not self.answering and (self.ended or not len(self.connection.buffer))
         )
 
     async def run(self) -> None:
-        connection, turn = self.connection, self.limits.receives_per_turn
-        received = 0
+        """Read from the client until its connection ends."""
+        connection, receives_per_turn = self.connection, self.limits.receives_per_turn
+        receive_count = 0
         try:
             while True:
                 if self.ended:
                     if not await connection.discard(self.server.discard_buffer):
                         break
-                elif connection.buffer.full:  # more than one query ahead: it waits
+                elif connection.buffer.full:  # pipelined input waits until the open query is answered
                     self.resume_reading.clear()
                     await self.resume_reading.wait()
                     continue
@@ -83,8 +89,10 @@
                     break
                 else:
                     self._process_messages()
-                received += 1
-                if received % turn == 0:  # one that never stops sending must leave the others their turn
+                receive_count += 1
+                if (
+                    receive_count % receives_per_turn == 0
+                ):  # let other tasks run if the client never stops sending
                     await asyncio.sleep(0)
         finally:
             self._detach_client()
@@ -92,8 +100,11 @@
             await connection.close()
 
     def _detach_client(self) -> None:
-        """From here on nothing is taken from this client, nor begun for it: what waits for its turn
-        (`_go_on`, `_sent`) finds the session ended, and the owner finds the query left before it hears."""
+        """Mark the session ended and its query as left by the client.
+
+        Scheduled callbacks (`_continue_processing`, `_on_all_sent`) see that the session has ended. The
+        dispatcher sees `client_left` even before it processes `ClientDeparted`.
+        """
         if self.ended_at is None:
             self.ended_at = self.now()
         if self.open_query is not None:
@@ -102,51 +113,59 @@
             self.inbox.put(ClientDeparted(query))
 
     def has_left(self, query: Query) -> bool:
-        """Whether its client has closed or cancelled, whatever of that has been read so far."""
+        """Whether the client has disconnected or cancelled the query, even if that has not been read yet."""
         if self.open_query is query and self.connection.peer_closed():
             self.counters.add("sessions", "departed")
             self._detach_client()
-            self.resume_reading.set()  # the reader goes on to the end
+            self.resume_reading.set()  # the reader reads on to the end of the connection
             self.server.on_session_ending(self)
         return self.open_query is not query
 
     def expiry_reason(self, now: float) -> str | None:
-        """Why the session has to end now, if it has."""
+        """Why the session has to be ended now; None if it may go on."""
         if self.ended_at is not None:
-            sent, since = self.connection.all_sent, now - self.ended_at
+            all_sent, ended_for_s = self.connection.all_sent, now - self.ended_at
             return (
                 "lingered"
-                if since > (self.limits.linger_timeout_s if sent else self.limits.client_write_timeout_s)
+                if ended_for_s
+                > (self.limits.linger_timeout_s if all_sent else self.limits.client_write_timeout_s)
                 else None
             )
         if self.open_query is not None and self.connection.buffer.full and self.connection.peer_closed():
-            return "departed"  # nobody reads there until the query is over: the end would not be seen
+            # With a full buffer nothing is read until the query ends, so the end would go unseen.
+            return "departed"
         if self.answering:
             return "stalled" if now - self.answer_started_at > self.limits.client_write_timeout_s else None
         if self.open_query is not None or self.receive_deadline is None or now <= self.receive_deadline:
             return None
-        # Bytes that came in this very moment may make the query whole: they are read first, once.
-        crosses = now - self.receive_deadline <= self.limits.close_grace_s
+        # Bytes that have just arrived may complete the query: within the grace period they are read first.
+        in_grace_period = now - self.receive_deadline <= self.limits.close_grace_s
         return (
             None
-            if crosses and (self.connection.has_unprocessed_receive() or self.connection.has_unread_bytes())
+            if in_grace_period
+            and (self.connection.has_unprocessed_receive() or self.connection.has_unread_bytes())
             else "silent"
         )
 
     def expire(self) -> None:
-        """No whole query came in time: the client is told so where it has begun one."""
-        begun = self.startup_done or len(self.connection.buffer)
-        self._half_close(pg.error(pg.CANCELED, "no whole query came in time", fatal=True) if begun else b"")
+        """End a session without a complete query in time, with an error if the client has sent anything."""
+        has_sent_anything = self.startup_done or len(self.connection.buffer)
+        self._half_close(
+            pg.error(pg.CANCELED, "no whole query came in time", fatal=True) if has_sent_anything else b""
+        )
 
     def admit(self) -> None:
-        """There is room: what has come so far is taken."""
+        """Admit a waiting session, and process what it has sent so far."""
         self.admitted, self.receive_deadline = True, self.now() + self.limits.query_receive_timeout_s
         self._process_messages()
 
     def close_if_idle(self) -> bool:
-        """End a session that rests; False where it does not. The check and the half-close are one step, and
-        the reader isn't cancelled: a request read in this very turn wins, one that comes later meets our end
-        and is read off, not taken, so that no reset takes the last answer away from the client."""
+        """End the session if it is idle; returns whether it was.
+
+        The check and the half-close are one step, and the reader isn't cancelled. A request that was read in
+        this turn of the loop is still served. A later one is read and discarded, as a close with unread input
+        would reset the connection, and the client could lose its last answer.
+        """
         connection = self.connection
         if (
             not self.idle
@@ -158,15 +177,19 @@
         self._half_close()
         return True
 
-    # --- In.
+    # --- Input.
 
     def _process_messages(self) -> None:
-        """Take what is whole, one query at a time, and only so many messages before others have a turn."""
+        """Process complete messages, one query at a time.
+
+        After `messages_per_turn` messages the rest is left for a later turn of the loop.
+        """
         try:
             for _ in range(self.limits.messages_per_turn):
                 if self.ended or self.open_query is not None or self.answering:
                     break
-                if self.connection.unsent_bytes > self.limits.client_unsent_bytes:  # it asks without reading
+                # The client sends without reading.
+                if self.connection.unsent_bytes > self.limits.client_unsent_bytes:
                     break
                 if not (self._read_message() if self.startup_done else self._read_startup()):
                     break
@@ -177,8 +200,8 @@
         except pg.ProtocolError as error:
             self.counters.add("sessions", "broken")
             self._half_close(pg.error(error.sqlstate, str(error), fatal=True))
-        waits = self.open_query is None and not self.answering and self.admitted
-        if self.receive_deadline is None and waits and len(self.connection.buffer):
+        waits_for_query = self.open_query is None and not self.answering and self.admitted
+        if self.receive_deadline is None and waits_for_query and len(self.connection.buffer):
             self.receive_deadline = self.now() + self.limits.query_receive_timeout_s
         self.resume_reading.set()
 
@@ -187,7 +210,7 @@
         self._process_messages()
 
     def _read_startup(self) -> bool:
-        if not self.admitted and not pg.is_cancel_request(self.connection.buffer.peek(16)):
+        if not self.admitted and not pg.is_cancel_request(self.connection.buffer.peek(CANCEL_REQUEST_BYTES)):
             return False
         message = pg.read_startup(self.connection.buffer, self.limits.startup_bytes)
         match message:
@@ -195,9 +218,9 @@
                 return False
             case pg.EncryptionRequest():
                 self.connection.write(pg.ENCRYPTION_DECLINED)
-            case pg.CancelRequest(process, secret):
+            case pg.CancelRequest(process_id, secret):
                 self.counters.add("sessions", "cancel_requests")
-                self.server.cancel_query(process, secret)
+                self.server.cancel_query(process_id, secret)
                 self._half_close()
             case pg.Startup(minor, parameters):
                 options = [name for name in parameters if name.startswith("_pq_.")]
@@ -245,15 +268,15 @@
             self.cancel_next_query = False
             self.connection.write(pg.error(pg.CANCELED, CANCELED_TEXT) + pg.READY_FOR_QUERY)
             return
-        taken_us = self.inbox.clock.now_us() - self.connection.since_last_data_us()
-        self.open_query = Query(self, statement, taken_us)
+        received_us = self.inbox.clock.now_us() - self.connection.since_last_data_us()
+        self.open_query = Query(self, statement, received_us)
         self.server.idle_since.pop(self, None)
         self.inbox.put(QueryReceived(self.open_query))
 
-    # --- Out.
+    # --- Output.
 
     def _send_answer(self, query: Query, data: bytes) -> None:
-        """The one answer to the open query; the next one is taken once it is written."""
+        """Send the only answer to the open query; the next query is processed once it is written."""
         if query is not self.open_query:
             return
         self.open_query, self.answering = None, True
@@ -261,7 +284,7 @@
         self.connection.write(data)
 
     def _on_all_sent(self) -> None:
-        """All that was to be written is: the next query may be taken."""
+        """Called once everything has been written: process the next query."""
         if self.ended:
             self.connection.shutdown_write()
             return
@@ -271,8 +294,11 @@
         self._process_messages()
 
     def _half_close(self, last_bytes: bytes = b"") -> None:
-        """Write the last bytes, then our end, then wait for the client to close: to close on unread input
-        resets the connection and could take them, or the answer before, away from it."""
+        """Write the last bytes, shut down the write side and wait for the client to close.
+
+        A close with unread input would reset the connection, and the client could lose these bytes or the
+        answer before them.
+        """
         self.ended_at = self.now()
         self.resume_reading.set()
         if last_bytes:
@@ -282,6 +308,7 @@
         self.server.on_session_ending(self)
 
     def send_result(self, query: Query, pages: list[pg.Rows]) -> None:
+        """Answer a query with its rows."""
         count = sum(page.count for page in pages)
         rows = [page.data for page in pages]
         self._send_answer(
@@ -290,22 +317,28 @@
         )
 
     def refuse(self, query: Query, retry_after_us: int | None) -> None:
-        pause = "" if retry_after_us is None else f", pushback={-(-retry_after_us // 1000)}"
+        """Answer with a retryable error; the query has not run."""
+        retry_hint = "" if retry_after_us is None else f", pushback={-(-retry_after_us // 1000)}"
         self._send_answer(
-            query, pg.error(pg.REFUSED, f"refused, not for good: try again{pause}") + pg.READY_FOR_QUERY
+            query, pg.error(pg.REFUSED, f"refused, not for good: try again{retry_hint}") + pg.READY_FOR_QUERY
         )
 
     def fail(self, query: Query, reason: str) -> None:
+        """Answer with an error that is not retryable; the query may have run."""
         self._send_answer(
             query, pg.error(pg.FAILED, f"the query failed ({reason}) and may have run") + pg.READY_FOR_QUERY
         )
 
     def reject(self, query: Query, reason: str) -> None:
+        """Answer with an error for invalid fields."""
         self._send_answer(query, pg.error(pg.BAD_VALUE, reason) + pg.READY_FOR_QUERY)
 
     def cancel_query(self) -> None:
-        """The client stopped waiting; the module hears that it left. Where what it cancels is still to be
-        read, as two connections keep no order, it is answered as soon as it is."""
+        """Cancel the open query at the client's request.
+
+        A cancel request comes on a connection of its own and may arrive before its query is read. In that
+        case the query is answered as cancelled as soon as it is read.
+        """
         if self.open_query is not None:
             self.open_query.client_left = True
             self.inbox.put(ClientDeparted(self.open_query))
@@ -320,25 +353,24 @@
 
 
 class SessionServer:
-    """The listener and all sessions."""
+    """Accepts client connections and manages their sessions."""
 
     def __init__(self, limits: Limits, inbox: Inbox, counters: Counters, log: Log) -> None:
         self.limits, self.inbox, self.counters, self.log = limits, inbox, counters, log
         self.loop = asyncio.get_running_loop()
         self.sessions: dict[int, tuple[Session, asyncio.Task[None]]] = {}
-        self.idle_since: dict[Session, float] = {}  # no query open since when, the longest first
-        self.ending_sessions: dict[Session, None] = {}  # have their last bytes, the first to end first
-        self.waiting_sessions: dict[Session, None] = {}  # in the doorway, until there is room
+        self.idle_since: dict[Session, float] = {}  # sessions without an open query, longest idle first
+        self.ending_sessions: dict[Session, None] = {}  # half-closed, in the order of their ends
+        self.waiting_sessions: dict[Session, None] = {}  # not yet admitted, in the order of arrival
         self.eviction_scheduled = False
-        self.accepting_stopped = False  # takes no more connections
-        self.discard_buffer = bytearray(
-            limits.discard_buffer_bytes
-        )  # takes what nobody reads, of all sessions
+        self.accepting_stopped = False  # no more connections are accepted
+        self.discard_buffer = bytearray(limits.discard_buffer_bytes)  # shared by all sessions
         self.last_process_id = 0
         self.room_available = asyncio.Event()
         self.listener: socket.socket | None = None
 
     def listen(self, address: tuple[str, int]) -> None:
+        """Open the listening socket. Errors: OSError."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -351,32 +383,36 @@
         self.listener = listener
 
     async def expire_sessions(self) -> None:
-        """End sessions that keep us waiting: for a whole query, for their answer to be read, or to close."""
+        """End sessions that are too slow to complete a query, to read their answer or to close."""
         while True:
             await asyncio.sleep(self.limits.sweep_interval_s)
             now = self.loop.time()
             for session, task in list(self.sessions.values()):
-                if (why := session.expiry_reason(now)) is None:
+                if (reason := session.expiry_reason(now)) is None:
                     continue
-                self.counters.add("sessions", why)
-                if why == "silent":
+                self.counters.add("sessions", reason)
+                if reason == "silent":
                     session.expire()
                 else:
                     task.cancel()
 
     @property
     def _is_full(self) -> bool:
-        """Whether no further connection can be taken in, not even into the doorway."""
-        held, door = len(self.sessions), self.limits.waiting_connections
-        live = held - len(self.ending_sessions)
+        """Whether no further connection can be accepted, not even to wait."""
+        connection_count, max_waiting = len(self.sessions), self.limits.waiting_connections
+        live_count = connection_count - len(self.ending_sessions)
         return (
-            live >= self.limits.client_connections + door or held >= self.limits.client_connections + 2 * door
+            live_count >= self.limits.client_connections + max_waiting
+            or connection_count >= self.limits.client_connections + 2 * max_waiting
         )
 
     async def accept(self) -> None:
-        """Take in connections until `accept_last`; where descriptors run short, at the cost of the longest
-        idle session. Some beyond the limit come into the doorway, where only a cancel request is taken: it
-        must not queue behind those that wait for room. Never cancelled while it may have accepted one."""
+        """Accept connections until `stop_accepting`; evict idle sessions if descriptors run short.
+
+        Some connections beyond the limit are accepted as waiting sessions. Only cancel requests are processed
+        on them, since a cancel request must not queue behind clients that wait for room. This task must not
+        be cancelled while it may have accepted a connection.
+        """
         assert self.listener is not None
         while not self.accepting_stopped:
             if self._is_full:
@@ -392,14 +428,14 @@
                 if not self.accepting_stopped:
                     self.log.line("sessions", f"accept: {error}")
                     self._free_connection()
-                    await asyncio.sleep(0.01)
+                    await asyncio.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             self._start_session(sock)
             self._accept_pending(self.limits.accepts_per_turn)
             await asyncio.sleep(0)
 
     def _accept_pending(self, max_count: int) -> None:
-        """What else waits: one a turn of the loop would keep the last of a crowd for as many turns."""
+        """Accept further pending connections, as one per turn of the loop would be slow in a burst."""
         assert self.listener is not None
         for _ in range(max_count):
             if self._is_full:
@@ -411,7 +447,7 @@
             self._start_session(sock)
 
     def _free_connection(self) -> None:
-        """Let go of one that was told its end and has had the time to read it, else end an idle one."""
+        """Close a half-closed session whose client had time to read the end, else evict an idle session."""
         for session in self.ending_sessions:
             ended_at = session.ended_at or 0.0
             if session.connection.all_sent and self.loop.time() - ended_at > self.limits.close_grace_s:
@@ -420,10 +456,10 @@
         self._evict_idle_session()
 
     def _evict_idle_session(self) -> bool:
-        """End a session that waits only for its client: the longest idle."""
-        before = self.loop.time() - self.limits.session_min_idle_s
-        for session, since in self.idle_since.items():
-            if since > before:  # its query may be on the way: to close on it would only bring it back
+        """End the session that has been idle for the longest time; returns whether there was one."""
+        idle_before = self.loop.time() - self.limits.session_min_idle_s
+        for session, idle_since in self.idle_since.items():
+            if idle_since > idle_before:  # its next query may be on the way, and the client would reconnect
                 break
             if session.close_if_idle():
                 self.counters.add("sessions", "displaced")
@@ -433,22 +469,22 @@
 
     @property
     def _can_admit(self) -> bool:
-        """Whether another may be let in from the doorway."""
-        live = len(self.sessions) - len(self.ending_sessions) - len(self.waiting_sessions)
-        return live < self.limits.client_connections
+        """Whether another session may be admitted."""
+        admitted_count = len(self.sessions) - len(self.ending_sessions) - len(self.waiting_sessions)
+        return admitted_count < self.limits.client_connections
 
     def _admit_waiting(self) -> None:
-        """Let in those that wait, the first to come first."""
+        """Admit waiting sessions in the order of their arrival, while there is room."""
         while self.waiting_sessions and self._can_admit:
             session = next(iter(self.waiting_sessions))
             del self.waiting_sessions[session]
             session.admit()
 
     def _evict_for_waiting(self) -> None:
-        """Make room for those that wait, now and again until none does."""
+        """Evict idle sessions for waiting ones; repeated until none waits."""
         self.eviction_scheduled = False
-        while self.waiting_sessions and self._evict_idle_session():  # whose end lets in the next
-            pass
+        while self.waiting_sessions and self._evict_idle_session():
+            pass  # each evicted session makes room for a waiting one
         if self.waiting_sessions:
             self.eviction_scheduled = True
             self.loop.call_later(self.limits.poll_interval_s, self._evict_for_waiting)
@@ -466,8 +502,11 @@
             self._evict_for_waiting()
 
     def stop_accepting(self) -> None:
-        """Take in what the kernel has accepted so far, and no more: `accept` sees the end of the listener
-        rather than being cancelled, since with it could go a connection that it had just been given."""
+        """Accept the connections that the kernel has queued, and stop.
+
+        Shutting down the listener ends `accept`. Cancelling its task instead could lose a connection that it
+        has just accepted.
+        """
         if self.listener is not None and not self.accepting_stopped:
             self._accept_pending(self.limits.accept_backlog)
             self.accepting_stopped = True
@@ -475,28 +514,31 @@
                 self.listener.shutdown(socket.SHUT_RDWR)
 
     def close_listener(self) -> None:
+        """Close the listening socket, if it is open."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def cancel_query(self, process_id: int, secret: int) -> None:
-        found = self.sessions.get(process_id)
-        if found is not None and found[0].secret == secret:
-            found[0].cancel_query()
+        """Cancel the query of the session with this cancel key; ignored if there is none."""
+        entry = self.sessions.get(process_id)
+        if entry is not None and entry[0].secret == secret:
+            entry[0].cancel_query()
 
     def close_session(self, session: Session) -> None:
-        """Close it at once."""
-        if found := self.sessions.get(session.process_id):
-            found[1].cancel()
+        """Close a session at once."""
+        if entry := self.sessions.get(session.process_id):
+            entry[1].cancel()
 
     def on_session_ending(self, session: Session) -> None:
-        """It is told its end: what it held of the limit is another's."""
+        """A session is half-closed or its client has left: it no longer counts against the client limit."""
         self.idle_since.pop(session, None)
         self.waiting_sessions.pop(session, None)
         self.ending_sessions[session] = None
         self._on_room_freed()
 
     def remove_session(self, session: Session) -> None:
+        """Forget a session whose task has ended."""
         self.sessions.pop(session.process_id, None)
         self.idle_since.pop(session, None)
         self.waiting_sessions.pop(session, None)
@@ -508,12 +550,13 @@
         self._admit_waiting()
 
     def close_idle(self) -> bool:
-        """End sessions with no query open; True once none is left."""
+        """End all idle sessions; returns True once no session is left."""
         for session, _ in list(self.sessions.values()):
             session.close_if_idle()
         return not self.sessions
 
     async def close(self) -> None:
+        """Close all sessions at once and wait for their tasks."""
         tasks = [task for _, task in self.sessions.values()]
         for task in tasks:
             task.cancel()
