--- a/whintrail/gateway/connection.py
+++ b/whintrail/gateway/connection.py
@@ -1,4 +1,4 @@
-"""One connection: one buffer in, one writer out."""
+"""A TCP connection with one receive buffer and one writer task."""
 
 import asyncio
 import socket
@@ -9,35 +9,40 @@
 
 from whintrail.gateway.buffer import Buffer
 
-TCP_INFO_LAST_DATA_MS = struct.Struct("=52xI")  # in Linux's tcp_info: milliseconds since data last came in
-# The first byte of tcp_info where the other side has reset or closed, whatever of it is still unread:
-# TCP_CLOSE and TCP_CLOSE_WAIT of Linux's tcp_states.h.
+TCP_INFO_LAST_DATA_MS = struct.Struct("=52xI")  # tcpi_last_data_recv of Linux's tcp_info
+# States in the first byte of tcp_info after the peer has reset or closed, even with bytes unread: TCP_CLOSE
+# and TCP_CLOSE_WAIT of Linux's tcp_states.h.
 CLOSED_TCP_STATES = b"\x07\x08"
-RECEIVE_SENTINEL = 0xFF  # no message of a client or an engine begins with it
+RECEIVE_SENTINEL = 0xFF  # no message of a client or an engine starts with this byte
 
 
 def create_tcp_socket() -> socket.socket:
+    """A non-blocking IPv4 TCP socket. Errors: OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
 
 
 def configure_socket(sock: socket.socket) -> None:
+    """Make a connected socket non-blocking, and send small messages without delay."""
     sock.setblocking(False)
-    with suppress(OSError):  # the other side may be gone already
+    with suppress(OSError):  # the peer may have closed already
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """host:port as an address; a host that is no IPv4 address would have to be looked up."""
+    """Parse `host:port`; only an IPv4 address is valid, as names would need a lookup. Errors: ValueError."""
     host, _, port = text.rpartition(":")
     if not 0 < int(port) < 65_536:
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"no valid port: {text!r}")
     return str(IPv4Address(host)), int(port)
 
 
 class Connection:
-    """Whoever holds it reads; what is written goes out in order through a single task."""
+    """Reads into one buffer and writes through one task.
+
+    The holder of the connection calls `receive` or `discard`. The writer task sends written bytes in order.
+    """
 
     def __init__(
         self, sock: socket.socket, buffer: Buffer, on_all_sent: Callable[[], None] | None = None
@@ -45,22 +50,24 @@
         self.sock, self.buffer, self.on_all_sent = sock, buffer, on_all_sent
         self.loop = asyncio.get_running_loop()
         self._unsent = bytearray()
-        self._receive_view: memoryview | None = None  # where the receive under way puts its bytes
+        self._receive_view: memoryview | None = None  # target of the receive in progress
         self._writing = self._closed = False
-        self.blocked_since: float | None = None  # the kernel takes no more: the other side does not read
-        self._wakeup: asyncio.Future[None] | None = None  # set while the writer waits
+        self.blocked_since: float | None = None  # since when the kernel accepts no more bytes
+        self._wakeup: asyncio.Future[None] | None = None  # set while the writer has nothing to send
         self._writer_task: asyncio.Task[None] | None = None
 
     @property
     def unsent_bytes(self) -> int:
+        """Bytes that the writer task has not taken yet."""
         return len(self._unsent)
 
     @property
     def all_sent(self) -> bool:
-        """Nothing waits to be written."""
+        """Whether nothing is waiting to be written."""
         return not self._writing
 
     def write(self, data: bytes | bytearray) -> None:
+        """Queue bytes to be sent; ignored after `close`."""
         if self._closed:
             return
         self._unsent += data
@@ -75,14 +82,14 @@
         while True:
             while self._unsent:
                 data, self._unsent = self._unsent, bytearray()
-                self.blocked_since = self.loop.time()  # seen by others only if the call has to wait
+                self.blocked_since = self.loop.time()  # visible to other tasks only if the call has to wait
                 try:
                     await self.loop.sock_sendall(self.sock, data)
                     self.blocked_since = None
                 except OSError:
                     self._unsent.clear()
                     with suppress(OSError):
-                        self.sock.shutdown(socket.SHUT_RDWR)  # the reader sees the end
+                        self.sock.shutdown(socket.SHUT_RDWR)  # ends the reader as well
                     return
             self._writing = False
             if self.on_all_sent is not None:
@@ -92,11 +99,11 @@
                 await self._wakeup
 
     async def receive(self) -> bool:
-        """Wait for bytes; False once the other side has ended or broken the connection."""
-        self._receive_view = into = self.buffer.receive_space()
-        into[0] = RECEIVE_SENTINEL
+        """Wait for bytes; returns False once the peer has closed or reset the connection."""
+        self._receive_view = view = self.buffer.receive_space()
+        view[0] = RECEIVE_SENTINEL
         try:
-            count = await self.loop.sock_recv_into(self.sock, into)
+            count = await self.loop.sock_recv_into(self.sock, view)
         except OSError:
             return False
         finally:
@@ -105,12 +112,14 @@
         return count > 0
 
     def has_unprocessed_receive(self) -> bool:
-        """Whether the loop has read bytes that the reader has not had its turn to see: the kernel holds them
-        no more, the buffer counts them not yet. A close that looks at those two alone loses them."""
+        """Whether the event loop has received bytes that the reader task has not processed yet.
+
+        These bytes are neither in the kernel nor counted by the buffer, so a close must check for them too.
+        """
         return self._receive_view is not None and self._receive_view[0] != RECEIVE_SENTINEL
 
     async def discard(self, scratch: bytearray) -> bool:
-        """As `receive`, but nobody wants the bytes; `waste` may serve many connections."""
+        """Like `receive`, but discards the bytes; `scratch` may be shared by many connections."""
         self.buffer.clear()
         try:
             return await self.loop.sock_recv_into(self.sock, scratch) > 0
@@ -118,7 +127,7 @@
             return False
 
     def since_last_data_us(self) -> int:
-        """How long ago the last bytes reached this machine, as far as its kernel tells."""
+        """Time since the kernel received the last bytes; 0 if the kernel doesn't tell."""
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_MS.size)
         except OSError:
@@ -130,16 +139,17 @@
         )
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes wait in the kernel."""
+        """Whether the kernel holds unread bytes."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
     def peer_closed(self) -> bool:
-        """Whether the other side has ended the connection, also where bytes that nobody has read hide it.
+        """Whether the peer has closed or reset the connection, even if unread bytes precede the end.
 
-        They come first, and one that closes with some of ours unread resets, after which no end waits."""
+        A peer that closes without reading all of our bytes resets the connection; no end of stream follows.
+        """
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
                 return True
@@ -151,13 +161,16 @@
         return bool(info) and info[0] in CLOSED_TCP_STATES
 
     def shutdown_write(self) -> None:
-        """No more is written: the other side sees the end after the last byte."""
+        """Shut down the write side: the peer sees the end of stream after the last byte."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     async def close(self) -> None:
-        """Leave nothing that holds memory, nor a circle of references: sessions come by the thousand, and a
-        collection of all that the program holds would stop it for long, so that none is waited for."""
+        """Close the connection and release its memory and all reference cycles.
+
+        Thousands of sessions come and go, and a full garbage collection would pause the gateway for long, so
+        closed connections must be freed without one.
+        """
         writer, self._writer_task, self.on_all_sent, self._closed = self._writer_task, None, None, True
         if writer is not None:
             self._wakeup = None
--- a/whintrail/gateway/fleet.py
+++ b/whintrail/gateway/fleet.py
@@ -1,9 +1,9 @@
-"""The fleet's node in a running gateway: its datagrams, its turns, its local socket.
+"""Runs the fleet's node in a gateway: its datagrams, its periodic ticks and its local control socket.
 
-Off unless the operator's file has a `fleet` part.
+It is off unless the operator's file has a `fleet` section.
 
-What is agreed reaches the decision module by the owner's queue alone, as a list of engines. Whatever fails
-here is counted and logged; it ends nothing of the gateway.
+Agreed drains reach the routing policy only through the dispatcher's inbox, as changes of the engine list.
+Faults of the fleet are counted and logged; they don't affect the rest of the gateway.
 """
 
 import asyncio
@@ -37,38 +37,39 @@
 
 
 def monotonic_us() -> int:
+    """The monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class FleetError(ValueError):
-    """The fleet can't be taken part in: the configuration says why not."""
+    """The configuration doesn't allow this gateway to join the fleet."""
 
 
 def build_node_config(
     fleet: FleetSettings, settings: Settings, zones: tuple[str, ...], peers: int, build: str
 ) -> FleetConfig:
-    """Errors: FleetError."""
-    me = settings.local_number
-    if not 0 <= me < peers:
-        raise FleetError(f"the configuration names {peers} peers, and this gateway is number {me}")
-    if strange := [number for number in fleet.council if number >= peers]:
-        raise FleetError(f"council: number {strange[0]} is none of {peers} peers")
-    out, worse = fleet.out, fleet.worse
+    """Build the node's configuration from the operator's file and the settings. Errors: FleetError."""
+    local_number = settings.local_number
+    if not 0 <= local_number < peers:
+        raise FleetError(f"the configuration names {peers} peers, and this gateway is number {local_number}")
+    if unknown_voters := [number for number in fleet.council if number >= peers]:
+        raise FleetError(f"council: number {unknown_voters[0]} is none of {peers} peers")
+    disruption, comparison = fleet.out, fleet.worse
     rules = LeaderRules(
-        gateway_budget=DisruptionBudget(out.gateways, out.gateways_a_zone),
-        engine_budget=DisruptionBudget(out.engines, out.engines_a_zone),
+        gateway_budget=DisruptionBudget(disruption.gateways, disruption.gateways_a_zone),
+        engine_budget=DisruptionBudget(disruption.engines, disruption.engines_a_zone),
         min_serving_us=int(fleet.proven_s * 1e6),
         comparison=ComparisonRules(
-            worse_factor=worse.times,
-            worse_margin=worse.least,
-            false_halt_rate=worse.halted_wrongly,
-            false_pass_rate=worse.passed_wrongly,
-            min_queries=worse.least_queries,
+            worse_factor=comparison.times,
+            worse_margin=comparison.least,
+            false_halt_rate=comparison.halted_wrongly,
+            false_pass_rate=comparison.passed_wrongly,
+            min_queries=comparison.least_queries,
         ),
     )
     return FleetConfig(
         name=fleet.name,
-        local_number=me,
+        local_number=local_number,
         size=peers,
         voters=fleet.council,
         build=build or fleet.build,
@@ -91,7 +92,10 @@
 
 
 class FleetService:
-    """One task for the turns; datagrams come from `Peers`. `stop` ends the gateway, as SIGTERM does."""
+    """Runs the node: one task for its ticks, datagrams from `PeerTransport`.
+
+    `stop` ends the gateway, as SIGTERM does.
+    """
 
     def __init__(
         self,
@@ -104,24 +108,20 @@
         log: Log,
         stop: Callable[[], None],
     ) -> None:
-        self.settings, self.node_config, self.dispatcher, self.peers = (
-            settings,
-            node_config,
-            dispatcher,
-            peers,
-        )
-        self.bulletin_last_received = bulletin_last_received  # when the bulletin last said anything
+        self.settings, self.node_config = settings, node_config
+        self.dispatcher, self.peers = dispatcher, peers
+        self.bulletin_last_received = bulletin_last_received  # time of the bulletin's last line
         self.counters, self.log, self.stop = counters, log, stop
         self.started_us = monotonic_us()
-        chance = SystemRandom()
-        boot_id = chance.getrandbits(32) | 1  # never 0: that is nobody
+        random = SystemRandom()
+        boot_id = random.getrandbits(32) | 1  # 0 stands for no gateway
         incarnation = int(time.time()) & 0xFFFFFFFF
         self.node = FleetNode(
             node_config,
             boot_id,
             incarnation,
             self.started_us,
-            chance,
+            random,
             self,
             lambda: int(time.time() * 1000),
             self._publish_event,
@@ -134,55 +134,66 @@
         self.control: FleetControl | None = None
         dispatcher.enable_fleet_accounting()
         if self.node.settings is not None:
-            acting, self.lists = self.node.settings.member.lease, self.node.settings.engine_list
-            dispatcher.current_rules = lambda: acting.active_version(monotonic_us()).rules
+            lease, self.lists = self.node.settings.member.lease, self.node.settings.engine_list
+            dispatcher.current_rules = lambda: lease.active_version(monotonic_us()).rules
             dispatcher.on_engine_list = self._on_engine_list
         peers.on_fleet_datagram = self.receive_datagram
 
     def _on_engine_list(self, update: EngineListUpdate) -> None:
         states = (
-            (e.engine, e.state is EngineState.READY, e.state is EngineState.REMOVED)
-            for e in update.event.entries
+            (entry.engine, entry.state is EngineState.READY, entry.state is EngineState.REMOVED)
+            for entry in update.event.entries
         )
-        whole = update.event.kind is not ListKind.DELTA
-        self.lists.apply_event(monotonic_us(), update.generation, whole, states)
+        is_full = update.event.kind is not ListKind.DELTA
+        self.lists.apply_event(monotonic_us(), update.generation, is_full, states)
 
-    # --- What the node asks of the gateway.
+    # --- The gateway's state, for the node.
 
     def serving_ms(self, now: int) -> int:
+        """For how long the gateway has been serving; 0 while it stops."""
         return 0 if self.leaving else max(1, (now - self.started_us) // 1000)
 
     def open_attempts(self, engine: str) -> int:
+        """This gateway's open attempts on an engine."""
         return self.dispatcher.count_open_attempts(engine)
 
     def outcome_counts(self) -> tuple[tuple[int, int, int, int], ...]:
+        """For each class, queries received, failed, refused and late since the start."""
         return self.dispatcher.class_totals()
 
     def engines(self) -> dict[str, EngineAvailability]:
-        found, kept = {}, self.dispatcher.policy.engines  # others than those we know only by the list
-        for name, listed in self.dispatcher.listed_engines().items():
-            if listed.state is EngineState.REMOVED:
+        """The listed engines and why they are unavailable, apart from the fleet's own drains."""
+        availability, used_engines = {}, self.dispatcher.policy.engines
+        for name, engine in self.dispatcher.listed_engines().items():
+            if engine.state is EngineState.REMOVED:
                 continue
-            drained = name in self.drained
-            leaves = listed.state is EngineState.DRAINING and not drained
-            unfit = name in kept and kept[name].failures and not drained
-            found[name] = EngineAvailability(listed.zone, "leaving" if leaves else "not fit" if unfit else "")
-        return found
+            is_drained = name in self.drained
+            is_leaving = engine.state is EngineState.DRAINING and not is_drained
+            is_unfit = name in used_engines and used_engines[name].failures and not is_drained
+            availability[name] = EngineAvailability(
+                engine.zone, "leaving" if is_leaving else "not fit" if is_unfit else ""
+            )
+        return availability
 
     @staticmethod
     def now_us() -> int:
+        """The clock of the node."""
         return monotonic_us()
 
     def check_body(self, body: Rules) -> str:
+        """Why this gateway can't act on these rules; empty if it can."""
         return find_unsupported(body, frozenset(self.dispatcher.class_deadlines_us), self.node_config.size)
 
     def _publish_event(self, event: str, fields: dict[str, object]) -> None:
+        """Log an event of the fleet, record it in the timeline and send it to all watchers."""
         self.log.line("fleet-" + event.replace(" ", "-"), event, **fields)
-        figures = [fields[name] for name in ("fence", "step", "version", "release") if name in fields]
-        figure = figures[0] if figures and isinstance(figures[0], int) else -1
-        member = fields.get("member", -1)
+        values = [fields[name] for name in ("fence", "step", "version", "release") if name in fields]
+        value = values[0] if values and isinstance(values[0], int) else -1
+        gateway_number = fields.get("member", -1)
         engine = str(fields.get("engine", FLEET_NAME))
-        self.dispatcher.record_fleet_event(engine, event, figure, member if isinstance(member, int) else -1)
+        self.dispatcher.record_fleet_event(
+            engine, event, value, gateway_number if isinstance(gateway_number, int) else -1
+        )
         row: dict[str, object] = {"at": time.time(), "event": event, **fields}
         for queue in self.watchers:
             if queue.full():
@@ -191,17 +202,18 @@
                 queue.put_nowait(row)
 
     def compare_file_rules(self, rules: dict[str, Any]) -> None:
-        """The file's own rules, where versions are agreed on: told if they differ, and never applied."""
+        """Report if the rules of the operator's file, which are not applied, differ from the agreed rules."""
         assert self.node.settings is not None
-        rule = self.node.settings.member.lease.active_version(monotonic_us())
-        if places := [path for path, _, _ in differences(rule.rules, parse_rules(rules))]:
+        version = self.node.settings.member.lease.active_version(monotonic_us())
+        if paths := [path for path, _, _ in differences(version.rules, parse_rules(rules))]:
             self._publish_event(
-                "rules of the file differ", {"version": rule.label, "at": ", ".join(places[:8])}
+                "rules of the file differ", {"version": version.label, "at": ", ".join(paths[:8])}
             )
 
-    # --- Turns and datagrams.
+    # --- Ticks and datagrams.
 
     def start(self) -> None:
+        """Start the ticks and the control socket."""
         loop = asyncio.get_running_loop()
         self.tasks.append(loop.create_task(self._run_ticks()))
         if self.settings.socket is not None:
@@ -209,7 +221,7 @@
                 self.control = FleetControl(self.settings.socket, self)
                 self.tasks.append(loop.create_task(self.control.run()))
             except OSError as error:
-                self.log.line("fleet", f"no socket at {self.settings.socket}: {error}")
+                self.log.line("fleet", f"can't open the control socket {self.settings.socket}: {error}")
 
     async def _run_ticks(self) -> None:
         while True:
@@ -220,18 +232,19 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def receive_datagram(self, origin: int, data: bytes) -> None:
+        """Pass a datagram of another gateway to the node."""
         self._run_guarded(lambda: self.node.receive(monotonic_us(), origin, data))
         self._process_node_output()
 
     def _run_guarded(self, action: Callable[[], None]) -> None:
         try:
             action()
-        except Exception as error:  # a fault of the fleet's is not the gateway's
+        except Exception as error:  # a fault of the fleet must not stop the gateway
             self.counters.add("fleet", "faults")
             self.log.line("fleet", f"{type(error).__name__}: {error}")
 
     def _process_node_output(self) -> None:
-        """What the node wants sent, what was answered, what is drained."""
+        """Send the node's messages, resolve finished requests and forward changed drains."""
         for target, data in self.node.flush(monotonic_us()):
             self.peers.send(target, data)
         for outcome in self.node.take_outcomes():
@@ -243,10 +256,13 @@
             self.drained = drained
             self.dispatcher.inbox.put(DrainsChanged(drained))
 
-    # --- Wishes.
+    # --- Requested changes.
 
     async def request_change(self, change: Change, seconds: float, waits: bool) -> RequestOutcome:
-        """Cancelled, it is wanted no more: a slot that comes all the same is given back."""
+        """Request a change and wait for its outcome.
+
+        If this task is cancelled, the request is withdrawn, and a slot that is still granted is returned.
+        """
         key = self.node.submit(monotonic_us(), change, seconds, waits)
         future: asyncio.Future[RequestOutcome] = asyncio.get_running_loop().create_future()
         self.pending_changes[key] = future
@@ -257,7 +273,7 @@
             self.node.leader_client.cancel(key)
 
     def leave(self) -> None:
-        """The gateway stops: by its slot, or without one. Always obeyed, and counted."""
+        """Announce that the gateway stops, with or without a restart slot; stopping is never refused."""
         if self.leaving:
             return
         self.leaving = True
@@ -266,11 +282,13 @@
         self._process_node_output()
 
     def add_node_counters(self) -> None:
+        """Add the node's counters to the gateway's, and reset them."""
         for name, count in self.node.counters.items():
             self.counters.add("fleet", name, count)
         self.node.counters.clear()
 
     async def close(self) -> None:
+        """Stop the ticks and remove the control socket."""
         self.peers.on_fleet_datagram = None
         if self.control is not None:
             self.control.close()
@@ -281,11 +299,12 @@
             with suppress(OSError):
                 os.unlink(self.settings.socket)
 
-    # --- What is shown.
+    # --- Status for the control socket.
 
     def status(self) -> dict[str, object]:
+        """The state of the fleet as this gateway knows it."""
         node, now = self.node, monotonic_us()
-        state, council = node.state, node.consensus
+        state, consensus = node.state, node.consensus
         leader = node.current_leader(now)
         row: dict[str, object] = {
             "fleet": self.node_config.name,
@@ -295,7 +314,7 @@
             "epoch": node.replica.position[0] >> 32,
             "term": node.known_leader[1],
             "index": node.replica.position[2],
-            "council": council.role.value if council is not None else "-",
+            "council": consensus.role.value if consensus is not None else "-",
             "slots": {f"n{n}": slot.fence for n, slot in state.slots.items()},
             "drains": {
                 name: {"fence": d.fence, "why": d.reason, "done": d.done} for name, d in state.drains.items()
@@ -314,7 +333,7 @@
                 "why": release.status_reason or release.reason,
             }
         if node.leader is not None:
-            row["out"] = {out.name: out.reason for out in node.leader.unavailable_gateways(now)}
+            row["out"] = {gateway.name: gateway.reason for gateway in node.leader.unavailable_gateways(now)}
             row["waits_for"] = {
                 name: [f"n{n}" for n in node.leader.drain_blockers(now, name)]
                 for name, drain in state.drains.items()
@@ -323,6 +342,7 @@
         return row
 
     def members(self) -> list[dict[str, object]]:
+        """The members as this gateway knows them."""
         node, now = self.node, monotonic_us()
         leader = node.leader
         rows = []
--- a/whintrail/gateway/fleet_control.py
+++ b/whintrail/gateway/fleet_control.py
@@ -1,4 +1,4 @@
-"""The fleet's local socket: what `whintrail fleet` and `whintrail settings` ask of a running gateway."""
+"""The fleet's local control socket, used by `whintrail fleet` and `whintrail settings`."""
 
 import asyncio
 import socket
@@ -28,14 +28,17 @@
 if TYPE_CHECKING:
     from whintrail.gateway.fleet import FleetService
 
+MAX_QUEUED_EVENTS = 256  # per client that watches
 OUTCOME_WORDS = {DONE: "done", REFUSED: "refused", RETRY_LATER: "later"}
 
 
 class RequestError(ValueError):
-    """What is asked can't be done here; the text is one line."""
+    """The request can't be fulfilled; the text is one line."""
 
 
 class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A request on the control socket; `what` selects it, and each uses some of the other fields."""
+
     what: str
     engine: str = ""
     member: int = -1
@@ -57,11 +60,11 @@
 
 
 class FleetControl(LineServer):
-    """`whintrail fleet` talks to it."""
+    """Serves requests on the control socket."""
 
     request_type = Request
     counter_group = "fleet"
-    max_request_bytes = 262_144  # a body of 64 KB, as JSON
+    max_request_bytes = 262_144  # room for a settings body of 64 KB as JSON
 
     def __init__(self, path: str, fleet: "FleetService") -> None:
         super().__init__(path, fleet.counters)
@@ -102,68 +105,82 @@
         return self._versions_service().member
 
     def _version_body(self, number: int) -> Rules:
-        """The body of a version that is known here. Errors: RequestError."""
-        versions, agreed = self._version_member(), self.fleet.node.state.versions
+        """The body of a version that this gateway holds. Errors: RequestError."""
+        member, version_state = self._version_member(), self.fleet.node.state.versions
         if number == 0:
             return Rules()
-        for version in (agreed.current, agreed.next, *agreed.history):
+        for version in (version_state.current, version_state.next, *version_state.history):
             if version is not None and version.number == number:
-                if (body := versions.rules_of(version)) is not None:
+                if (body := member.rules_of(version)) is not None:
                     return body
         raise RequestError(f"version {number} is not held here")
 
     def version_proposal(self, body: dict[str, Any] | None, number: int, why: str) -> Change:
-        """A version made on the one in force: of a given body, or an old one's. Errors: RequestError."""
-        versions, agreed = self._version_member(), self.fleet.node.state.versions
+        """A proposal for the version after the one in force, with a given body or that of an older version.
+
+        Errors: RequestError.
+        """
+        member, version_state = self._version_member(), self.fleet.node.state.versions
         try:
-            new = parse_rules(body) if body is not None else self._version_body(number)
-            transition_rules(self._version_body(agreed.number), new)
-            if refused := self.fleet.check_body(new):
-                raise RequestError(refused)
-            return VersionRequest(agreed.number + 1, versions.store_rules(new), why)
+            new_rules = parse_rules(body) if body is not None else self._version_body(number)
+            transition_rules(self._version_body(version_state.number), new_rules)
+            if refusal := self.fleet.check_body(new_rules):
+                raise RequestError(refusal)
+            return VersionRequest(version_state.number + 1, member.store_rules(new_rules), why)
         except RulesError as error:
             raise RequestError(str(error)) from error
 
     def settings_row(self) -> dict[str, object]:
-        versions, agreed, now = self._version_member(), self.fleet.node.state.versions, self.fleet.now_us()
-        rule = versions.lease.active_version(now)
+        """The version of the settings in force, and this gateway's lease on it."""
+        member, version_state, now = (
+            self._version_member(),
+            self.fleet.node.state.versions,
+            self.fleet.now_us(),
+        )
+        version = member.lease.active_version(now)
         row: dict[str, object] = {
-            "acts_by": rule.label,
-            "leased": rule.leased,
-            "lease_left_ms": max(0, (versions.lease.expires_at - now) // 1000),
-            "in_force": agreed.number,
-            "next": agreed.next.number if agreed.next is not None else None,
-            "entering": agreed.entering,
-            "dropped": agreed.last_dropped or None,
-            "T_s": versions.timing.max_divergence_us / 1e6,
-            "lapses": versions.lease.lapse_count,
-            "rules": msgspec.to_builtins(rule.rules),
+            "acts_by": version.label,
+            "leased": version.leased,
+            "lease_left_ms": max(0, (member.lease.expires_at - now) // 1000),
+            "in_force": version_state.number,
+            "next": version_state.next.number if version_state.next is not None else None,
+            "entering": version_state.entering,
+            "dropped": version_state.last_dropped or None,
+            "T_s": member.timing.max_divergence_us / 1e6,
+            "lapses": member.lease.lapse_count,
+            "rules": msgspec.to_builtins(version.rules),
         }
-        if left := self._versions_service().unready_members(now):
-            row["waits_for"] = [f"n{number}" for number in left]
+        if unready := self._versions_service().unready_members(now):
+            row["waits_for"] = [f"n{number}" for number in unready]
         return row
 
     def lists_row(self) -> dict[str, object]:
-        lists, now = self._versions_service().engine_list, self.fleet.now_us()
+        """This gateway's engine list, as compared among gateways."""
+        engine_list, now = self._versions_service().engine_list, self.fleet.now_us()
         return {
-            "generation": lists.generation,
-            "digest": f"{lists.digest:08x}",
-            "engines": len(lists.ready),
-            "ready": sum(lists.ready.values()),
-            "heard_ms_ago": (now - lists.last_activity_at) // 1000,
-            "old": lists.is_stale(now),
-            "shut_by_others": sorted(lists.excluded_engines),
-            "contradictions": lists.conflict_count,
-            "went_back": lists.generation_regressions,
+            "generation": engine_list.generation,
+            "digest": f"{engine_list.digest:08x}",
+            "engines": len(engine_list.ready),
+            "ready": sum(engine_list.ready.values()),
+            "heard_ms_ago": (now - engine_list.last_activity_at) // 1000,
+            "old": engine_list.is_stale(now),
+            "shut_by_others": sorted(engine_list.excluded_engines),
+            "contradictions": engine_list.conflict_count,
+            "went_back": engine_list.generation_regressions,
         }
 
     def history_rows(self) -> list[dict[str, object]]:
-        agreed = self.fleet.node.state.versions
+        """The known versions, newest first."""
+        version_state = self.fleet.node.state.versions
         rows: list[dict[str, object]] = []
-        for version in (agreed.next, agreed.current, *reversed(agreed.history)):
+        for version in (version_state.next, version_state.current, *reversed(version_state.history)):
             if version is not None:
                 state = (
-                    "next" if version is agreed.next else "in force" if version is agreed.current else "past"
+                    "next"
+                    if version is version_state.next
+                    else "in force"
+                    if version is version_state.current
+                    else "past"
                 )
                 rows.append(
                     {
@@ -178,8 +195,9 @@
         return rows
 
     def difference_rows(self, a: int, b: int) -> list[dict[str, object]]:
-        found = differences(self._version_body(a), self._version_body(b))
-        return [{"path": path, "before": before, "after": after} for path, before, after in found]
+        """The differences between two versions. Errors: RequestError."""
+        changes = differences(self._version_body(a), self._version_body(b))
+        return [{"path": path, "before": before, "after": after} for path, before, after in changes]
 
     def _versions_rows(self, request: Request) -> list[dict[str, Any]]:
         match request.what:
@@ -193,7 +211,7 @@
                 return self.difference_rows(request.a, request.b)
 
     def _build_change(self, request: Request) -> Change:
-        """Errors: msgspec.ValidationError for what the wire can't carry, RequestError."""
+        """Build the change for a request. Errors: RequestError, msgspec.ValidationError (invalid values)."""
         change: Change
         match request.what:
             case "may-restart":
@@ -211,27 +229,27 @@
                 change = self.version_proposal(request.body or {}, 0, request.why)
             case "back-to":
                 change = self.version_proposal(None, request.a, request.why)
-            case "halt" | "resume" | "back" as turn:
-                change = ReleaseStatusRequest(RELEASE_COMMANDS[turn], request.why)
+            case "halt" | "resume" | "back" as command:
+                change = ReleaseStatusRequest(RELEASE_COMMANDS[command], request.why)
             case other:
                 raise RequestError(f"no such request: {other}")
         return msgspec.convert(msgspec.to_builtins(change), type(change))
 
     async def _request_change(self, sock: socket.socket, request: Request, change: Change) -> None:
         loop = asyncio.get_running_loop()
-        wish = loop.create_task(
+        change_task = loop.create_task(
             self.fleet.request_change(change, request.wait_s, request.wait or request.what != "may-restart")
         )
-        gone = loop.create_task(self.wait_closed(sock))
+        closed_task = loop.create_task(self.wait_closed(sock))
         try:
-            await asyncio.wait([wish, gone], return_when=asyncio.FIRST_COMPLETED)
-            if not wish.done():
+            await asyncio.wait([change_task, closed_task], return_when=asyncio.FIRST_COMPLETED)
+            if not change_task.done():
                 return
-            outcome = wish.result()
+            outcome = change_task.result()
         finally:
-            wish.cancel()
-            gone.cancel()
-            await asyncio.gather(wish, gone, return_exceptions=True)
+            change_task.cancel()
+            closed_task.cancel()
+            await asyncio.gather(change_task, closed_task, return_exceptions=True)
         row: dict[str, object] = {
             "word": OUTCOME_WORDS[outcome.status],
             "fence": outcome.fence,
@@ -246,18 +264,18 @@
         await self._write_rows(sock, [row])
 
     async def _stream_events(self, sock: socket.socket) -> None:
-        queue: asyncio.Queue[dict[str, object]] = asyncio.Queue(256)
+        queue: asyncio.Queue[dict[str, object]] = asyncio.Queue(MAX_QUEUED_EVENTS)
         loop = asyncio.get_running_loop()
-        gone = loop.create_task(self.wait_closed(sock))
+        closed_task = loop.create_task(self.wait_closed(sock))
         self.fleet.watchers.add(queue)
         try:
-            while not gone.done():
-                getting = loop.create_task(queue.get())
-                await asyncio.wait([getting, gone], return_when=asyncio.FIRST_COMPLETED)
-                if getting.done():
-                    await self._write_rows(sock, [getting.result()])
-                getting.cancel()
+            while not closed_task.done():
+                event_task = loop.create_task(queue.get())
+                await asyncio.wait([event_task, closed_task], return_when=asyncio.FIRST_COMPLETED)
+                if event_task.done():
+                    await self._write_rows(sock, [event_task.result()])
+                event_task.cancel()
         finally:
             self.fleet.watchers.discard(queue)
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            closed_task.cancel()
+            await asyncio.gather(closed_task, return_exceptions=True)
--- a/whintrail/gateway/log.py
+++ b/whintrail/gateway/log.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard error, at most so many a second for each kind of trouble."""
+"""Structured log lines on standard error, rate-limited per kind."""
 
 import sys
 import time
@@ -29,18 +29,20 @@
 
 
 class Log:
-    """One line a call: key=value, or JSON. A line break in a value never makes a second line.
+    """Writes one line per call, as key=value pairs or JSON, even if a value contains line breaks.
 
-    `burst` lines of one kind at once, then `per_second`; lines held back are counted with the next.
+    Each kind may write `burst` lines at once and then `per_second`. The next line of a kind tells how many
+    were suppressed.
     """
 
     def __init__(self, name: str, burst: float, per_second: float, as_json: bool = False) -> None:
         self.name = name
         self.configure(burst, per_second, as_json)
-        self._allowances: dict[str, tuple[float, float, int]] = {}  # kind: (allowance, at, lines held back)
+        # A token bucket per kind: tokens, time of the last update, lines suppressed since.
+        self._allowances: dict[str, tuple[float, float, int]] = {}
 
     def configure(self, burst: float, per_second: float, as_json: bool) -> None:
-        """From now on; everybody who logs holds this one object."""
+        """Change rate limit and format of this object, which all parts of the gateway share."""
         self.burst, self.per_second = burst, per_second
         processors = [_add_timestamp, _render_json if as_json else _render_logfmt]
         self._logger = structlog.wrap_logger(
@@ -48,20 +50,21 @@
         )
 
     def line(self, kind: str, text: str, **fields: object) -> None:
-        """Print the text unless this kind has had its share; then say how many were held back."""
+        """Write a line, unless the rate limit of its kind is exceeded."""
         now = time.monotonic()
-        allowance, at, held = self._allowances.get(kind, (self.burst, now, 0))
-        allowance = min(self.burst, allowance + (now - at) * self.per_second)
-        if allowance < 1.0:
-            self._allowances[kind] = (allowance, now, held + 1)
+        tokens, updated_at, suppressed = self._allowances.get(kind, (self.burst, now, 0))
+        tokens = min(self.burst, tokens + (now - updated_at) * self.per_second)
+        if tokens < 1.0:
+            self._allowances[kind] = (tokens, now, suppressed + 1)
             return
-        self._allowances[kind] = (allowance - 1.0, now, 0)
-        self.always(text, kind, **fields, **({"held_back": held} if held else {}))
+        self._allowances[kind] = (tokens - 1.0, now, 0)
+        self.always(text, kind, **fields, **({"held_back": suppressed} if suppressed else {}))
 
     def always(self, text: str, kind: str = "program", **fields: object) -> None:
+        """Write a line without a rate limit."""
         self._logger.msg(text, kind=kind, **fields)
 
 
 def log_once(name: str, text: str) -> None:
-    """A line before there is a configuration, and so a log."""
+    """Write a line without a configured log, for errors during the start."""
     Log(name, 1.0, 1.0).always(text)
--- a/whintrail/gateway/peers.py
+++ b/whintrail/gateway/peers.py
@@ -1,8 +1,7 @@
-"""Datagrams between gateways: one socket, an address a gateway, nothing that lasts.
+"""Datagrams between gateways: one UDP socket, and one address per gateway.
 
-uvloop has no datagram calls (`sock_sendto` and `sock_recvfrom_into` raise NotImplementedError). This is their
-nearest relative: the loop tells when the socket can be read, and what can't be sent at once is lost, as any
-datagram may be.
+uvloop has no datagram calls (`sock_sendto` and `sock_recvfrom_into` raise NotImplementedError). Instead the
+loop signals when the socket is readable, and a datagram that can't be sent at once is dropped, as any may be.
 """
 
 import asyncio
@@ -18,32 +17,30 @@
 from whintrail.gateway.log import Log
 from whintrail.settings import get_or_default
 
-FLEET_DATAGRAM_MARK = (
-    0xF5  # first byte of a datagram of the fleet's (`fleet/wire.py`); a memo begins otherwise
-)
+# First byte of the fleet's datagrams (`fleet/wire.py`); probe reports start with another one.
+FLEET_DATAGRAM_MARK = 0xF5
 
 
 class PeerTransport:
-    """Everything that reaches the owner came from an address on the list, and is no longer than allowed."""
+    """Sends and receives datagrams; those from unknown addresses, or too long ones, are dropped."""
 
     def __init__(
         self, config: Mapping[str, Any], limits: Limits, inbox: Inbox, counters: Counters, log: Log
     ) -> None:
-        """ValueError where the addresses can't be used."""
+        """Errors: ValueError for invalid addresses."""
         self.limits, self.inbox, self.counters, self.log = limits, inbox, counters, log
         self.listen_address = parse_address(config["peer_listen"])
         self.addresses = [parse_address(text) for text in get_or_default(config, "peers", [])]
-        self.gateway_numbers = {where: number for number, where in enumerate(self.addresses)}
-        everyone = config.get("peers_all")
-        self.broadcast_address = parse_address(everyone) if everyone else None
-        self.buffer = bytearray(MAX_DATAGRAM_BYTES + 1)  # one more shows what is too long
+        self.gateway_numbers = {address: number for number, address in enumerate(self.addresses)}
+        broadcast = config.get("peers_all")
+        self.broadcast_address = parse_address(broadcast) if broadcast else None
+        self.buffer = bytearray(MAX_DATAGRAM_BYTES + 1)  # with room to detect datagrams that are too long
         self.sock: socket.socket | None = None
-        self.on_fleet_datagram: Callable[[int, bytes], None] | None = (
-            None  # who takes what is marked as the fleet's
-        )
+        # Called with the datagrams that carry the fleet's mark, if a fleet is running.
+        self.on_fleet_datagram: Callable[[int, bytes], None] | None = None
 
     def open(self) -> None:
-        """Without the socket the gateway serves all the same: it then knows what it finds out itself."""
+        """Open the socket. If that fails, the gateway serves without reports of other gateways."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
@@ -56,32 +53,35 @@
         asyncio.get_running_loop().add_reader(sock.fileno(), self._on_readable)
 
     def send(self, target: int | None, payload: bytes) -> None:
-        """To one gateway, or to all where one address stands for all."""
-        where = self.broadcast_address
+        """Send to one gateway, or to all if `target` is None.
+
+        Sending to all uses the broadcast address. Without one, a gateway with a fleet sends to each address.
+        """
+        address = self.broadcast_address
         if target is not None:
-            where = self.addresses[target] if 0 <= target < len(self.addresses) else None
-        if target is None and where is None and self.on_fleet_datagram is not None:
-            for number in range(len(self.addresses)):  # no address stands for all
+            address = self.addresses[target] if 0 <= target < len(self.addresses) else None
+        if target is None and address is None and self.on_fleet_datagram is not None:
+            for number in range(len(self.addresses)):
                 self.send(number, payload)
             return
-        if self.sock is None or where is None or len(payload) > MAX_DATAGRAM_BYTES:
+        if self.sock is None or address is None or len(payload) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers", "not_sent")
             return
         try:
-            self.sock.sendto(payload, where)
+            self.sock.sendto(payload, address)
             self.counters.add("peers", "sent")
-        except OSError:  # a full buffer too
+        except OSError:  # also if the send buffer is full
             self.counters.add("peers", "not_sent")
 
     def _on_readable(self) -> None:
-        """So many a turn: a flood must not hold up clients and engines."""
+        """Receive a limited number of datagrams, so that a flood doesn't delay clients and engines."""
         assert self.sock is not None
         for _ in range(self.limits.datagrams_per_turn):
             try:
-                count, where = self.sock.recvfrom_into(self.buffer)
-            except OSError:  # nothing more, or the answer of a host that lives to one that does not
+                count, address = self.sock.recvfrom_into(self.buffer)
+            except OSError:  # nothing more to read, or an ICMP error for a datagram sent before
                 return
-            origin = self.gateway_numbers.get(where)
+            origin = self.gateway_numbers.get(address)
             if origin is None or count > MAX_DATAGRAM_BYTES:
                 self.counters.add("peers", "strange")
                 continue
@@ -92,6 +92,7 @@
             self.inbox.put(PeerDatagram(origin, bytes(memoryview(self.buffer)[:count])))
 
     def close(self) -> None:
+        """Close the socket, if it is open."""
         if self.sock is not None:
             asyncio.get_running_loop().remove_reader(self.sock.fileno())
             self.sock.close()
--- a/whintrail/gateway/postgres.py
+++ b/whintrail/gateway/postgres.py
@@ -1,4 +1,4 @@
-"""The PostgreSQL wire protocol 3.0 as a server speaks it. A pure codec: it touches no socket."""
+"""Codec of the PostgreSQL wire protocol 3.0 for a server; it does no I/O."""
 
 import struct
 from collections.abc import Iterable
@@ -7,14 +7,22 @@
 from whintrail.gateway.buffer import Buffer
 
 PROTOCOL_MAJOR = 3
-SSL_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80877103, 80877104, 80877102
+SSL_REQUEST = 80877103
+GSS_REQUEST = 80877104
+CANCEL_REQUEST = 80877102
 TEXT_OID = 25
-ENCRYPTION_DECLINED = b"N"  # to a request for encryption
-
-# SQLSTATE codes; class 53 and 57P03 promise that trying again is harmless and stand for nothing else.
-REFUSED, NOT_READY = "53000", "57P03"
-FAILED, CANCELED, STOPPED = "58000", "57014", "57P01"
-SYNTAX_ERROR, BAD_VALUE, UNSUPPORTED, TOO_LARGE = "42601", "22023", "0A000", "54000"
+ENCRYPTION_DECLINED = b"N"  # answer to a request for encryption
+
+# SQLSTATE codes. Class 53 and 57P03 promise that a retry is safe; they are used for nothing else.
+REFUSED = "53000"
+NOT_READY = "57P03"
+FAILED = "58000"
+CANCELED = "57014"
+STOPPED = "57P01"
+SYNTAX_ERROR = "42601"
+BAD_VALUE = "22023"
+UNSUPPORTED = "0A000"
+TOO_LARGE = "54000"
 PROTOCOL_VIOLATION = "08P01"
 
 _length_field = struct.Struct("!I")
@@ -23,7 +31,7 @@
 
 
 class ProtocolError(ValueError):
-    """What came is no message of this protocol; the connection can't go on."""
+    """The input is not a valid message; the connection has to be closed."""
 
     def __init__(self, sqlstate: str, text: str) -> None:
         super().__init__(text)
@@ -32,28 +40,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Startup:
+    """The start-up message of a client."""
+
     minor: int
     parameters: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class EncryptionRequest:
-    pass
+    """A request for SSL or GSSAPI encryption."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
+    """A request to cancel the open query of another connection."""
+
     process_id: int
     secret: int
 
 
 def is_cancel_request(prefix: bytes) -> bool:
-    """Whether the first bytes of a connection are a cancel request."""
+    """Whether the first bytes of a connection belong to a cancel request."""
     return len(prefix) >= _startup_header.size and _startup_header.unpack_from(prefix)[1] == CANCEL_REQUEST
 
 
 def read_startup(buffer: Buffer, max_bytes: int) -> Startup | EncryptionRequest | CancelRequest | None:
-    """The first message of a connection, which has no type; None while it is not whole."""
+    """Take the first message of a connection, which has no type byte; None while it is incomplete."""
     if len(buffer) < _length_field.size:
         return None
     (length,) = _length_field.unpack(buffer.peek(_length_field.size))
@@ -71,17 +83,17 @@
         return CancelRequest(*_startup_header.unpack(body))
     if code >> 16 != PROTOCOL_MAJOR:
         raise ProtocolError(UNSUPPORTED, f"unsupported frontend protocol {code >> 16}.{code & 0xFFFF}")
-    words = body.split(b"\0")
-    if words[-1:] != [b""] or len(words) < 2 or words[-2] != b"":
+    items = body.split(b"\0")
+    if items[-1:] != [b""] or len(items) < 2 or items[-2] != b"":
         raise ProtocolError(
             PROTOCOL_VIOLATION, "invalid startup packet layout: expected terminator as last byte"
         )
-    texts = [word.decode("utf-8", "replace") for word in words[:-2]]
+    texts = [item.decode("utf-8", "replace") for item in items[:-2]]
     return Startup(code & 0xFFFF, dict(zip(texts[::2], texts[1::2], strict=False)))
 
 
 def read_message(buffer: Buffer, max_bytes: int) -> tuple[bytes, bytes] | None:
-    """Type and body of the next message; None while it is not whole."""
+    """Take the type and body of the next message; None while it is incomplete."""
     if len(buffer) < _message_header.size:
         return None
     kind, length = _message_header.unpack(buffer.peek(_message_header.size))
@@ -95,6 +107,7 @@
 
 
 def query_text(body: bytes) -> bytes:
+    """The text in the body of a query message, without its terminating zero. Errors: ProtocolError."""
     if body[-1:] != b"\0" or body.find(b"\0") != len(body) - 1:
         raise ProtocolError(PROTOCOL_VIOLATION, "invalid string in message")
     return body[:-1]
@@ -108,51 +121,54 @@
     return value.encode() + b"\0"
 
 
-READY_FOR_QUERY = _message(b"Z", b"I")  # no transaction is ever open
+READY_FOR_QUERY = _message(b"Z", b"I")  # transaction status: idle
 EMPTY_QUERY = _message(b"I", b"")
 
 
 def startup_response(parameters: dict[str, str], process_id: int, secret: int) -> bytes:
-    """What follows a start-up: authenticated, settings, the key for cancel requests, ready."""
-    status = b"".join(_message(b"S", _text(name) + _text(value)) for name, value in parameters.items())
+    """The response to a start-up: authentication ok, parameters, the cancel key, ready for query."""
+    parameter_status = b"".join(
+        _message(b"S", _text(name) + _text(value)) for name, value in parameters.items()
+    )
     return (
         _message(b"R", _length_field.pack(0))
-        + status
+        + parameter_status
         + _message(b"K", _startup_header.pack(process_id, secret))
         + READY_FOR_QUERY
     )
 
 
 def negotiate_protocol_version(options: Iterable[str]) -> bytes:
-    """Only 3.0 is spoken, and none of these protocol options."""
+    """The response to an unsupported minor version or protocol options: 3.0 without these options."""
     names = list(options)
     counts = _startup_header.pack(PROTOCOL_MAJOR << 16, len(names))
     return _message(b"v", counts + b"".join(map(_text, names)))
 
 
 def error(sqlstate: str, text: str, fatal: bool = False) -> bytes:
+    """An error response."""
     severity = "FATAL" if fatal else "ERROR"
     fields = {"S": severity, "V": severity, "C": sqlstate, "M": text}
     return _message(b"E", b"".join(key.encode() + _text(value) for key, value in fields.items()) + b"\0")
 
 
 def row_description(names: Iterable[str]) -> bytes:
+    """The row description for text columns."""
     columns = [_text(name) + struct.pack("!IhIhih", 0, 0, TEXT_OID, -1, -1, 0) for name in names]
     return _message(b"T", struct.pack("!H", len(columns)) + b"".join(columns))
 
 
 @dataclass(slots=True)
 class Rows:
-    """Rows of a result as the client gets them."""
+    """Encoded data rows of a result."""
 
     count: int
     data: bytes
 
 
-RESULT_COLUMN_COUNT = 3  # of every result
-MAX_PAGE_BYTES = (
-    6000  # in one page, and so in a row; heads and lengths up to that are made once, as rows are many
-)
+RESULT_COLUMN_COUNT = 3
+MAX_PAGE_BYTES = 6000  # limits the length of a row as well
+# Encoded once for all possible lengths, since encoding rows is on the hot path.
 _column_lengths = [_length_field.pack(n) for n in range(MAX_PAGE_BYTES + 1)]
 _row_headers = [
     struct.pack("!cIH", b"D", 6 + 4 * RESULT_COLUMN_COUNT + length, RESULT_COLUMN_COUNT)
@@ -163,20 +179,22 @@
 
 
 def encode_data_rows(text: bytes) -> Rows:
-    """Whole rows, a tab between columns and a line feed after each; ValueError where they are not."""
-    marks = text.translate(None, _non_separators)
-    count = len(marks) // len(_row_separators)
-    if len(text) > MAX_PAGE_BYTES or marks != _row_separators * count or text[-1:] not in (b"", b"\n"):
-        raise ValueError("not whole rows")
+    """Encode rows with a tab between columns and a line feed after each row. Errors: ValueError."""
+    separators = text.translate(None, _non_separators)
+    count = len(separators) // len(_row_separators)
+    if len(text) > MAX_PAGE_BYTES or separators != _row_separators * count or text[-1:] not in (b"", b"\n"):
+        raise ValueError("not complete rows")
     cells = iter(text.replace(b"\n", b"\t").split(b"\t"))
-    lengths, heads = _column_lengths, _row_headers
-    parts: list[bytes] = []
-    add = parts.extend
-    for first, second, third in zip(cells, cells, cells, strict=False):  # the last cell stands alone, empty
+    lengths, headers = _column_lengths, _row_headers
+    encoded: list[bytes] = []
+    add = encoded.extend
+    # The empty cell after the last line feed is left over.
+    for first, second, third in zip(cells, cells, cells, strict=False):
         a, b, c = len(first), len(second), len(third)
-        add((heads[a + b + c], lengths[a], first, lengths[b], second, lengths[c], third))
-    return Rows(count, b"".join(parts))
+        add((headers[a + b + c], lengths[a], first, lengths[b], second, lengths[c], third))
+    return Rows(count, b"".join(encoded))
 
 
 def command_complete(tag: str) -> bytes:
+    """The message that ends a result."""
     return _message(b"C", _text(tag))
--- a/whintrail/gateway/statement.py
+++ b/whintrail/gateway/statement.py
@@ -1,4 +1,4 @@
-"""What a client's query says of itself: the fields in the comment ahead, and the group of tables."""
+"""Parses a client's query: the fields in its leading comment, and its group of tables."""
 
 import re
 from dataclasses import dataclass
@@ -9,11 +9,13 @@
 
 
 class StatementError(ValueError):
-    """The fields are missing or can't be used."""
+    """The fields are missing or invalid."""
 
 
 @dataclass(slots=True)
 class Statement:
+    """A query's fields and the statement that is sent to an engine."""
+
     class_name: str
     call_id: bytes
     ttl_ms: float | None
@@ -24,7 +26,7 @@
 
 
 def _number_field(fields: dict[str, str], name: str) -> float | None:
-    """The field's number; None where it is absent, while zero is zero."""
+    """The number in a field; None if it is absent. Errors: StatementError."""
     text = fields.get(name)
     if text is None:
         return None
@@ -34,7 +36,10 @@
 
 
 def read_statement(query: bytes) -> Statement:
-    """Fields in any order, unknown ones skipped; the statement itself goes on unchanged."""
+    """Parse a query. Errors: StatementError.
+
+    The fields may be in any order, and unknown ones are skipped. The statement itself stays unchanged.
+    """
     found = _leading_comment.match(query)
     if found is None:
         raise StatementError("no comment with fields ahead of the statement")
@@ -47,17 +52,17 @@
         name, equals, value = item.partition("=")
         if equals:
             fields[name.strip()] = value.strip()
-    class_name, call = fields.get("op", ""), fields.get("call", "").encode()
+    class_name, call_id = fields.get("op", ""), fields.get("call", "").encode()
     if not class_name:
         raise StatementError("field op is missing")
-    if not _call_id_pattern.match(call):
+    if not _call_id_pattern.match(call_id):
         raise StatementError("field call is missing or not 16 hex digits")
     text = query[found.end() :]
     if not text.strip():
         raise StatementError("no statement after the comment")
     return Statement(
         class_name,
-        call,
+        call_id,
         _number_field(fields, "ttl"),
         _number_field(fields, "work"),
         _number_field(fields, "memory"),
@@ -68,7 +73,7 @@
     )
 
 
-# --- The group of tables: a small lexer. Its tokens are names and the signs that matter between them.
+# --- The group of tables: a small lexer for names and the punctuation between them.
 
 _sql_token = re.compile(
     r"""
@@ -84,7 +89,7 @@
     re.VERBOSE | re.DOTALL,
 )
 _comment_or_quoted = re.compile(r"--[^\n]*|'(?:[^']|'')*'|\"(?:[^\"]|\"\")*\"|/\*|\*/", re.DOTALL)
-_comment_edge = re.compile(r"/\*|\*/")  # what counts inside a comment
+_comment_edge = re.compile(r"/\*|\*/")  # what matters inside a comment
 _schema_group = re.compile(r"[^\W\d]\w*?_([0-9]{1,9})\Z")
 _CLAUSE_WORDS = [
     "where",
@@ -102,57 +107,57 @@
     [*_CLAUSE_WORDS, "except", "for", "returning", "on", "set", "values", "select", "with"]
 )
 _TABLE_INTRODUCERS = frozenset(["from", "join", "into", "update", "table", "using"])
-_FUNCTIONS_WITH_FROM = frozenset(
-    ["extract", "substring", "trim", "overlay", "position"]
-)  # their FROM names no table
-_TABLE_MODIFIERS = frozenset(["only", "lateral", "if", "exists"])  # may stand between
+# FROM in the arguments of these functions names no table.
+_FUNCTIONS_WITH_FROM = frozenset(["extract", "substring", "trim", "overlay", "position"])
+_TABLE_MODIFIERS = frozenset(["only", "lateral", "if", "exists"])  # may precede a table name
 
 
 def _strip_block_comments(text: str) -> str:
-    """The text with a space for each comment in slashes and stars; they nest."""
+    """Replace each block comment by a space; block comments nest."""
     kept: list[str] = []
-    depth = start = at = 0
-    # Inside a comment quotes mean nothing: to look for their ends there took a hostile text's square in time.
-    while mark := (_comment_edge if depth else _comment_or_quoted).search(text, at):
-        at = mark.end()
-        if mark.group() == "/*":
+    depth = start = position = 0
+    # Quotes mean nothing inside a comment. To search for their ends there would take quadratic time on
+    # hostile text.
+    while token := (_comment_edge if depth else _comment_or_quoted).search(text, position):
+        position = token.end()
+        if token.group() == "/*":
             if depth == 0:
-                kept += (text[start : mark.start()], " ")
+                kept += (text[start : token.start()], " ")
             depth += 1
-        elif mark.group() == "*/" and depth:
+        elif token.group() == "*/" and depth:
             depth -= 1
-            start = at
+            start = position
     if depth == 0:
         kept.append(text[start:])
     return "".join(kept)
 
 
 def table_group(statement: bytes) -> int | None:
-    """The number in the name of the schema that is read or written; None where there is none."""
+    """The number in the schema name of the first table that has one, as 17 in `sales_17.orders`."""
     text = statement.decode("utf-8", "replace")
     if "/*" in text:
         text = _strip_block_comments(text)
-    # Each token: a word in lower case, a quoted name, a sign, or nothing for texts and numbers.
+    # Each token is a lower-case word, a quoted name, punctuation, or empty for literals and numbers.
     tokens = [(m["word"] or "").lower() or m["sign"] or m["quoted"] or "" for m in _sql_token.finditer(text)]
     tokens += ["", ""]
-    brackets: list[tuple[bool, bool]] = []  # per open bracket: a list of tables goes on; FROM means nothing
-    in_list = expect = deaf = False
+    brackets: list[tuple[bool, bool]] = []  # saved (in_list, ignore_from) per open bracket
+    in_list = expect_table = ignore_from = False
     previous = ""
     for index, token in enumerate(tokens):
         if token == "(":
-            brackets.append((in_list, deaf))
-            deaf = previous in _FUNCTIONS_WITH_FROM
+            brackets.append((in_list, ignore_from))
+            ignore_from = previous in _FUNCTIONS_WITH_FROM
         elif token == ")":
-            in_list, deaf = brackets.pop() if brackets else (False, False)
-            expect = False
+            in_list, ignore_from = brackets.pop() if brackets else (False, False)
+            expect_table = False
         elif token == ",":
-            expect = in_list
-        elif token in _TABLE_INTRODUCERS and not deaf and previous not in (".", "distinct"):
-            in_list = expect = True
+            expect_table = in_list
+        elif token in _TABLE_INTRODUCERS and not ignore_from and previous not in (".", "distinct"):
+            in_list = expect_table = True
         elif token in _TABLE_LIST_END_WORDS:
-            in_list = expect = False
-        elif expect and token and token not in _TABLE_MODIFIERS:
-            expect = False
+            in_list = expect_table = False
+        elif expect_table and token and token not in _TABLE_MODIFIERS:
+            expect_table = False
             schema = _schema_group.match(token) if tokens[index + 1] == "." else None
             if schema:
                 return int(schema.group(1))
@@ -160,11 +165,12 @@
     return None
 
 
-_plain_literal = re.compile(rb"'[0-9A-Za-z]*'")  # too plain to hide a name; the rest of a statement recurs
+# Literals without signs can't contain a name. Statements that differ in them only share a cache entry.
+_plain_literal = re.compile(rb"'[0-9A-Za-z]*'")
 
 
 _MAX_CACHED_BYTES = 1000
-_MAX_PARSED_BYTES = 16_384  # the group stands near the start; all others wait while it is read
+_MAX_PARSED_BYTES = 16_384  # the group is near the start, and parsing blocks the event loop
 
 
 @lru_cache(maxsize=1024)
