--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,8 +1,8 @@
-"""What the time line costs: python -m benchmarks.cost [--rounds 5] [--rate 600]
+"""Cost of the timeline: python -m benchmarks.cost [--rounds 5] [--rate 600]
 
-Two gateways, one with the time line and one without, at the same time, before fleets of their own under the
-same load; each round compares their CPU time a request (utime + stime of the processes). Prints resident
-memory before and under load too.
+Two gateways, one with the timeline and one without, run at the same time under the same load, each with
+engines of its own. Each round compares their CPU time per request (utime + stime of the processes). Also
+prints resident memory before and under load.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 
 
 class GatewayUnderLoad:
-    """A gateway and its fleet."""
+    """A gateway process and its stand-in engines."""
 
     def __init__(self, folder: Path, engines: int, timeline: dict[str, object] | None) -> None:
         self.folder, self.timeline = folder, timeline
@@ -58,7 +58,7 @@
         await until_serves(self.port)
 
     async def measure(self, rate: float, seconds: float, seed: int) -> float:
-        """CPU microseconds a request."""
+        """Run the load and return the CPU microseconds per request."""
         load, before = Load(self.port, rate, QUERY_MIX, seed), cpu_s(self.process.pid)
         await load.run(seconds)
         load.close()
@@ -77,28 +77,32 @@
         timeline: dict[str, object] = {"memory_mb": 8}
         if with_store:
             timeline["store"] = {"directory": str(folder / "store")}
-        on, off = (
-            GatewayUnderLoad(folder / "on", engines, timeline),
-            GatewayUnderLoad(folder / "off", engines, None),
-        )
-        await on.start()
-        await off.start()
-        idle = resident_mb(on.process.pid), resident_mb(off.process.pid)
-        for side in (on, off):
-            await side.measure(rate, 3.0, 0)  # warm
-        ratios, figures = [], []
-        for number in range(rounds):
-            # At the same time, so that the machine's mood is the same for both; ids may not return.
-            pair = await asyncio.gather(*(side.measure(rate, 5.0, number + 1) for side in (on, off)))
+        with_timeline = GatewayUnderLoad(folder / "on", engines, timeline)
+        without_timeline = GatewayUnderLoad(folder / "off", engines, None)
+        await with_timeline.start()
+        await without_timeline.start()
+        idle = resident_mb(with_timeline.process.pid), resident_mb(without_timeline.process.pid)
+        for gateway in (with_timeline, without_timeline):
+            await gateway.measure(rate, 3.0, 0)  # warm up
+        ratios, cpu_us = [], []
+        for round_number in range(rounds):
+            # Both at the same time, so that other load on the machine affects them alike. Each round has its
+            # own seed, as call ids must not recur.
+            pair = await asyncio.gather(
+                *(
+                    gateway.measure(rate, 5.0, round_number + 1)
+                    for gateway in (with_timeline, without_timeline)
+                )
+            )
             ratios.append(pair[0] / pair[1])
-            figures.append((pair[0], pair[1]))
-        loaded = resident_mb(on.process.pid), resident_mb(off.process.pid)
-        await on.stop()
-        await off.stop()
+            cpu_us.append((pair[0], pair[1]))
+        loaded = resident_mb(with_timeline.process.pid), resident_mb(without_timeline.process.pid)
+        await with_timeline.stop()
+        await without_timeline.stop()
     ratio = median(ratios)
     print(
         f"{engines} engines, {rate:g} requests/s, store {'on' if with_store else 'off'}: CPU a request"
-        f" on {median(f[0] for f in figures):.0f} us, off {median(f[1] for f in figures):.0f} us,"
+        f" on {median(f[0] for f in cpu_us):.0f} us, off {median(f[1] for f in cpu_us):.0f} us,"
         f" ratio {ratio:.3f} (pairs {' '.join(f'{r:.3f}' for r in sorted(ratios))})"
     )
     print(f"  resident: on {idle[0]:.1f} to {loaded[0]:.1f} MB, off {idle[1]:.1f} to {loaded[1]:.1f} MB")
@@ -110,8 +114,8 @@
     parser.add_argument("--rate", type=float, default=600.0)
     parser.add_argument("--engines", type=int, default=8)
     parser.add_argument("--store", action="store_true")
-    given = parser.parse_args()
-    asyncio.run(run(given.rounds, given.rate, given.engines, given.store))
+    arguments = parser.parse_args()
+    asyncio.run(run(arguments.rounds, arguments.rate, arguments.engines, arguments.store))
 
 
 if __name__ == "__main__":
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""The pure codecs of the gateway, fed whole and a byte at a time."""
+"""Unit tests of the gateway's codecs, with input in one piece and byte by byte."""
 
 import struct
 import time
@@ -25,13 +25,13 @@
 
 
 def read_all(data: bytes, read: Callable[[Buffer], T | None], step: int) -> list[T]:
-    buffer, found = Buffer(16, 100_000), []
-    for at in range(0, len(data), step):
-        receive(buffer, data[at : at + step])
+    buffer, messages = Buffer(16, 100_000), []
+    for offset in range(0, len(data), step):
+        receive(buffer, data[offset : offset + step])
         while (message := read(buffer)) is not None:
-            found.append(message)
+            messages.append(message)
     assert len(buffer) == 0
-    return found
+    return messages
 
 
 # --- The buffer.
@@ -217,13 +217,18 @@
 
 
 def test_fields_in_any_order_and_unknown_ones_skipped() -> None:
-    given = read_statement(b" /* x=1,memory=0,call=9b1f03aa5c7e2d41, op=report */  SELECT 1 FROM a_2.b ")
-    assert (given.class_name, given.call_id, given.text) == (
+    statement = read_statement(b" /* x=1,memory=0,call=9b1f03aa5c7e2d41, op=report */  SELECT 1 FROM a_2.b ")
+    assert (statement.class_name, statement.call_id, statement.text) == (
         "report",
         b"9b1f03aa5c7e2d41",
         b"SELECT 1 FROM a_2.b ",
     )
-    assert (given.ttl_ms, given.work_ms, given.memory_mb, given.table_group) == (None, None, 0.0, 2)
+    assert (statement.ttl_ms, statement.work_ms, statement.memory_mb, statement.table_group) == (
+        None,
+        None,
+        0.0,
+        2,
+    )
 
 
 @pytest.mark.parametrize("field", ["ttl=-1", "ttl=x", "ttl=", "work=1e9", "memory=nan", "memory=" + "9" * 30])
@@ -276,6 +281,6 @@
 @pytest.mark.parametrize("unit", ["-", "'", '"', "/*", "$a", "a ", "(", "e'\\", "\"'"])
 def test_hostile_statements_are_parsed_in_bounded_time(start: str, unit: str) -> None:
     fields = b"/* op=lookup,call=9b1f03aa5c7e2d41,ttl=5000 */ "
-    began = time.process_time()
+    started = time.process_time()
     read_statement(fields + start.encode() + unit.encode() * (64_000 // len(unit)))
-    assert time.process_time() - began < 0.5
+    assert time.process_time() - started < 0.5
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -80,10 +80,10 @@
     def __init__(self) -> None:
         self.engines, self.client, self.counters = FakeEngines(), FakeClient(), Counters()
         self.inbox, self.last_call_id = Inbox(Clock()), 0
-        given = settings(query_class(), query_class("once", effect=api.Effect.ONCE))
+        policy_settings = settings(query_class(), query_class("once", effect=api.Effect.ONCE))
         limits = Limits.read({"settings": {"Limits": {"MaxOpen": 100}}})
         self.dispatcher = Dispatcher(
-            given, 7, limits, self.inbox, self.engines, self.counters, Log("test", 5.0, 1.0)
+            policy_settings, 7, limits, self.inbox, self.engines, self.counters, Log("test", 5.0, 1.0)
         )
         self.inbox.put(
             EngineListUpdate(
@@ -218,14 +218,14 @@
         raise ZeroDivisionError("for this test")
 
     async def scenario(harness: Harness) -> None:
-        module = harness.dispatcher.policy
+        policy = harness.dispatcher.policy
         harness.ask(ttl_ms=300)
         await let_dispatcher_run()
-        judge = module._learn_from_outcome
-        module._learn_from_outcome = broken  # type: ignore[method-assign,assignment]
+        original = policy._learn_from_outcome
+        policy._learn_from_outcome = broken  # type: ignore[method-assign,assignment]
         harness.inbox.put(AttemptResult(harness.engines.sent[0], api.Outcome.ERROR))
         await let_dispatcher_run()
-        module._learn_from_outcome = judge  # type: ignore[method-assign]
+        policy._learn_from_outcome = original  # type: ignore[method-assign]
         harness.ask()
         await let_dispatcher_run()
         harness.inbox.put(AttemptResult(harness.engines.sent[1], OK, pages=[]))
@@ -276,19 +276,18 @@
 
 def test_an_answered_query_is_released_and_leaves_no_timer() -> None:
     async def scenario(harness: Harness) -> None:
-        before = len(harness.dispatcher.timers)
+        timer_count = len(harness.dispatcher.timers)
         query = harness.ask(ttl_ms=60_000)
         await let_dispatcher_run()
         harness.inbox.put(AttemptResult(harness.engines.sent.pop(), OK))
         await let_dispatcher_run()
-        assert query.finished and len(harness.dispatcher.timers) == before
+        assert query.finished and len(harness.dispatcher.timers) == timer_count
         del query
-        harness.inbox.put(
-            EngineListUpdate(api.EngineListReceived(api.ListKind.DELTA, ()), {})
-        )  # run() still holds the last input
+        # Replaces the last input, which run() still holds.
+        harness.inbox.put(EngineListUpdate(api.EngineListReceived(api.ListKind.DELTA, ()), {}))
         await let_dispatcher_run()
         gc.collect()
-        assert not [thing for thing in gc.get_objects() if isinstance(thing, Query)]
+        assert not [item for item in gc.get_objects() if isinstance(item, Query)]
 
     run_scenario(scenario)
 
@@ -310,8 +309,8 @@
 
 def test_no_further_attempt_starts_after_the_client_has_closed() -> None:
     async def scenario(harness: Harness) -> None:
-        two = api.EngineListReceived(api.ListKind.FULL, (engine("e1"), engine("e2")))
-        harness.inbox.put(EngineListUpdate(two, {"e1": "127.0.0.1:9", "e2": "127.0.0.1:9"}))
+        two_engines = api.EngineListReceived(api.ListKind.FULL, (engine("e1"), engine("e2")))
+        harness.inbox.put(EngineListUpdate(two_engines, {"e1": "127.0.0.1:9", "e2": "127.0.0.1:9"}))
         harness.ask()
         await let_dispatcher_run()
         (first,) = harness.engines.sent
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The program as a whole: started as it is deployed, spoken to over sockets."""
+"""End-to-end tests of the gateway: started as deployed, and used over sockets."""
 
 import re
 import signal
@@ -26,22 +26,22 @@
 
 
 def scripted_engine(name: str = "s-1", mode: str = "serve", port: int = 0, delay: float = 0.0) -> Engine:
-    given = Engine(name, port, mode)
-    given.delay = delay
-    return given
+    engine = Engine(name, port, mode)
+    engine.delay = delay
+    return engine
 
 
 def many_pages() -> list[bytes]:
     return [b"".join(b"day %d\t%d\tnote %d\n" % (p, r, p * r) for r in range(200)) for p in range(5)]
 
 
-# --- Served.
+# --- Served queries.
 
 
 def test_a_result_of_several_pages_arrives_complete_and_in_order() -> None:
-    with deployment() as given:
-        given.engines[0].pages = many_pages()
-        answer = given.client().ask(query(work=12.5, memory=64))
+    with deployment() as cluster:
+        cluster.engines[0].pages = many_pages()
+        answer = cluster.client().ask(query(work=12.5, memory=64))
         expected = [tuple(row.split("\t")) for page in many_pages() for row in page.decode().splitlines()]
         assert answer.rows == expected
         assert (answer.tag, answer.sqlstate, answer.status) == ("SELECT 1000", None, "I")
@@ -49,16 +49,20 @@
 
 def test_id_class_and_statement_reach_the_engine_unchanged_without_the_comment() -> None:
     sql = "SELECT a,  b -- /* op=x */\n FROM sales_17.t WHERE c = 'it''s; /* ö */'"
-    with deployment() as given:
-        assert given.client().ask(f"/* ttl=4000,x=1,call=9b1f03aa5c7e2d41,op=report */ {sql}").rows
-        (did,) = given.engines[0].done
-        assert (did.id, did.fields["class"], did.statement) == ("9b1f03aa5c7e2d41", "report", sql.encode())
-        assert 3000 < int(did.fields["wait"]) <= 4000
+    with deployment() as cluster:
+        assert cluster.client().ask(f"/* ttl=4000,x=1,call=9b1f03aa5c7e2d41,op=report */ {sql}").rows
+        (request,) = cluster.engines[0].done
+        assert (request.id, request.fields["class"], request.statement) == (
+            "9b1f03aa5c7e2d41",
+            "report",
+            sql.encode(),
+        )
+        assert 3000 < int(request.fields["wait"]) <= 4000
 
 
 def test_queries_in_sequence_with_the_first_sent_along_with_the_startup() -> None:
-    with deployment() as given:
-        client = Client(given.port, start=False)
+    with deployment() as cluster:
+        client = Client(cluster.port, start=False)
         client.sock.sendall(client.startup() + client.simple(query()) + client.simple(query()))
         client.greeted()
         assert [client.answer().tag for _ in range(2)] == ["SELECT 1", "SELECT 1"]
@@ -66,8 +70,8 @@
 
 
 def test_a_query_received_one_byte_at_a_time() -> None:
-    with deployment() as given:
-        client = Client(given.port, start=False)
+    with deployment() as cluster:
+        client = Client(cluster.port, start=False)
         for byte in client.startup() + client.simple(query()):
             client.sock.sendall(bytes([byte]))
             time.sleep(0.0005)
@@ -76,31 +80,31 @@
 
 
 def test_many_clients_at_once_share_one_link() -> None:
-    with deployment(scripted_engine(delay=0.1)) as given:
-        clients = [given.client() for _ in range(40)]
+    with deployment(scripted_engine(delay=0.1)) as cluster:
+        clients = [cluster.client() for _ in range(40)]
         for client in clients:
             client.send(query())
         assert all(client.answer().rows for client in clients)
-        assert len(given.engines[0].done) == 40
-        assert len(given.engines[0].open) <= 2
+        assert len(cluster.engines[0].done) == 40
+        assert len(cluster.engines[0].open) <= 2
 
 
-# --- Refused and failed.
+# --- Refused and failed queries.
 
 
 def test_a_refusal_has_a_retryable_code_and_a_retry_delay() -> None:
-    with deployment(scripted_engine(mode="overload")) as given:
-        answer = given.client().ask(query(ttl=700))
+    with deployment(scripted_engine(mode="overload")) as cluster:
+        answer = cluster.client().ask(query(ttl=700))
         assert answer.sqlstate and RETRYABLE_SQLSTATE.match(answer.sqlstate)
         assert re.search(r"pushback=2000\b", answer.text)
         assert answer.status == "I"
 
 
 def test_a_non_repeatable_query_that_may_have_run_fails_with_a_non_retryable_code() -> None:
-    with deployment(scripted_engine(mode="crashed")) as given:
-        answer = given.client().ask(query("once"))
+    with deployment(scripted_engine(mode="crashed")) as cluster:
+        answer = cluster.client().ask(query("once"))
         assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate)
-        assert len(given.engines[0].done) == 1
+        assert len(cluster.engines[0].done) == 1
 
 
 @pytest.mark.parametrize(
@@ -110,9 +114,9 @@
 def test_a_broken_attempt_is_retried_elsewhere_only_if_the_query_is_repeatable(mode: str, op: str) -> None:
     bad, good = scripted_engine("s-1", mode), scripted_engine("s-2", "wait")
     bad.pages = good.pages = many_pages()
-    with deployment(bad, good) as given:
-        for _ in range(30):  # until one is drawn for the engine that breaks
-            client = given.client()
+    with deployment(bad, good) as cluster:
+        for _ in range(30):  # until a query is sent to the failing engine
+            client = cluster.client()
             client.send(query(op, ttl=3000))
             wait_for(lambda: bad.done or good.done)
             if bad.done:
@@ -131,78 +135,78 @@
 
 @pytest.mark.parametrize("mode", ["garbage", "endless line", "over-long"])
 def test_broken_framing_closes_the_link_and_sends_no_rows_to_the_client(mode: str) -> None:
-    with deployment(scripted_engine("s-1", mode)) as given:
-        answer = given.client().ask(query("once", ttl=3000))
+    with deployment(scripted_engine("s-1", mode)) as cluster:
+        answer = cluster.client().ask(query("once", ttl=3000))
         assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate) and not answer.rows
-        given.engines[0].mode = "serve"
-        wait_for(lambda: given.client().ask(query()).rows)
+        cluster.engines[0].mode = "serve"
+        wait_for(lambda: cluster.client().ask(query()).rows)
 
 
 def test_answers_to_unknown_requests_are_dropped() -> None:
-    with deployment(scripted_engine(mode="strangers")) as given:
-        assert given.client().ask(query()).rows == [("a", "b", "c")]
+    with deployment(scripted_engine(mode="strangers")) as cluster:
+        assert cluster.client().ask(query()).rows == [("a", "b", "c")]
 
 
 def test_duplicate_answers_and_pages_are_ignored() -> None:
-    with deployment(scripted_engine(mode="copies")) as given:
-        given.engines[0].pages = many_pages()
-        client = given.client()
+    with deployment(scripted_engine(mode="copies")) as cluster:
+        cluster.engines[0].pages = many_pages()
+        client = cluster.client()
         assert all(len(client.ask(query("once")).rows) == 1000 for _ in range(3))
-        assert len(given.engines[0].done) == 3
+        assert len(cluster.engines[0].done) == 3
 
 
 def test_a_silent_engine_delays_a_query_only_until_its_deadline() -> None:
-    with deployment(scripted_engine(mode="silent")) as given:
+    with deployment(scripted_engine(mode="silent")) as cluster:
         start = time.monotonic()
-        answer = given.client().ask(query(ttl=800))
+        answer = cluster.client().ask(query(ttl=800))
         assert answer.sqlstate and 0.5 < time.monotonic() - start < 3.0
-        wait_for(lambda: any(words[0] == "undo" for words in given.engines[0].words))
+        wait_for(lambda: any(words[0] == "undo" for words in cluster.engines[0].words))
 
 
 def test_queries_move_from_an_engine_that_refuses_connections_to_another() -> None:
     dead, good = scripted_engine("s-1"), scripted_engine("s-2")
-    with deployment(dead, good) as given:
+    with deployment(dead, good) as cluster:
         dead.close()
-        client = given.client()
+        client = cluster.client()
         assert all(client.ask(query()).rows for _ in range(20))
 
 
-# --- Clients that leave.
+# --- Clients that cancel or disconnect.
 
 
 def test_a_cancel_request_ends_the_query_and_its_attempt() -> None:
-    with deployment(scripted_engine(mode="silent")) as given:
-        client = given.client()
+    with deployment(scripted_engine(mode="silent")) as cluster:
+        client = cluster.client()
         client.send(query("report"))
-        wait_for(lambda: given.engines[0].done)
-        other = Client(given.port, start=False)
+        wait_for(lambda: cluster.engines[0].done)
+        other = Client(cluster.port, start=False)
         other.sock.sendall(struct.pack("!IIII", 16, 80877102, client.key[0], client.key[1] ^ 1))
         assert other.sock.recv(1) == b""
-        other = Client(given.port, start=False)
+        other = Client(cluster.port, start=False)
         other.sock.sendall(struct.pack("!IIII", 16, 80877102, *client.key))
         assert client.answer().sqlstate == "57014"
-        wait_for(lambda: ["undo", given.engines[0].done[0].id] in given.engines[0].words)
+        wait_for(lambda: ["undo", cluster.engines[0].done[0].id] in cluster.engines[0].words)
 
 
 def test_a_disconnect_cancels_the_clients_attempt_and_affects_no_other_client() -> None:
-    with deployment(scripted_engine(delay=0.3)) as given:
-        given.engines[0].pages = many_pages()
-        leaver, stayer = given.client(), given.client()
-        leaver.send(query())
-        stayer.send(query())
-        wait_for(lambda: len(given.engines[0].done) == 2)
-        leaver.close()
-        assert len(stayer.answer().rows) == 1000
-        wait_for(lambda: any(words[0] == "undo" for words in given.engines[0].words))
+    with deployment(scripted_engine(delay=0.3)) as cluster:
+        cluster.engines[0].pages = many_pages()
+        leaving, staying = cluster.client(), cluster.client()
+        leaving.send(query())
+        staying.send(query())
+        wait_for(lambda: len(cluster.engines[0].done) == 2)
+        leaving.close()
+        assert len(staying.answer().rows) == 1000
+        wait_for(lambda: any(words[0] == "undo" for words in cluster.engines[0].words))
 
 
 def test_a_slow_reader_does_not_delay_other_clients() -> None:
-    with deployment() as given:
-        given.engines[0].pages = many_pages()
-        slow = Client(given.port, start=False)
+    with deployment() as cluster:
+        cluster.engines[0].pages = many_pages()
+        slow = Client(cluster.port, start=False)
         slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
         slow.sock.sendall(slow.startup() + b"".join(slow.simple(query()) for _ in range(12)))
-        fast = given.client()
+        fast = cluster.client()
         start = time.monotonic()
         assert all(fast.ask(query()).rows for _ in range(20))
         assert time.monotonic() - start < PATIENCE_S / 2
@@ -210,7 +214,7 @@
         assert all(len(slow.answer().rows) == 1000 for _ in range(12))
 
 
-# --- Bad input from clients.
+# --- Invalid input from clients.
 
 
 @pytest.mark.parametrize(
@@ -226,42 +230,42 @@
     ],
 )
 def test_an_invalid_query_fails_and_the_session_continues(text: str) -> None:
-    with deployment() as given:
-        client = given.client()
+    with deployment() as cluster:
+        client = cluster.client()
         answer = client.ask(text)
         assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate) and answer.status == "I"
         assert client.ask(query()).rows
-        assert len(given.engines[0].done) == 1
+        assert len(cluster.engines[0].done) == 1
 
 
 def test_a_zero_ttl_differs_from_an_absent_one() -> None:
-    with deployment() as given:
-        client = given.client()
+    with deployment() as cluster:
+        client = cluster.client()
         answer = client.ask(query(ttl=0))
         assert answer.sqlstate and RETRYABLE_SQLSTATE.match(answer.sqlstate)
         assert client.ask(query(ttl=None)).rows
 
 
 def test_encryption_is_declined_and_unsupported_versions_are_rejected() -> None:
-    with deployment() as given:
-        client = Client(given.port, start=False)
+    with deployment() as cluster:
+        client = Client(cluster.port, start=False)
         for code in (80877103, 80877104):
             client.sock.sendall(struct.pack("!II", 8, code))
             assert client.file.read(1) == b"N"
         client.sock.sendall(client.startup())
         client.greeted()
         assert client.ask(query()).rows
-        newer = Client(given.port, start=False)
+        newer = Client(cluster.port, start=False)
         newer.sock.sendall(newer.startup((3 << 16) + 2))
         newer.greeted()
-        old = Client(given.port, start=False)
+        old = Client(cluster.port, start=False)
         old.sock.sendall(old.startup(2 << 16))
         assert old.answer().sqlstate == "0A000"
 
 
 def test_extended_protocol_messages_get_one_error_until_sync() -> None:
-    with deployment() as given:
-        client = given.client()
+    with deployment() as cluster:
+        client = cluster.client()
         parse = client.message(b"P", b"\0SELECT 1\0\0\0")
         bind = client.message(b"B", b"\0\0\0\0\0\0\0\0")
         client.sock.sendall(parse + bind + client.message(b"S", b""))
@@ -281,12 +285,12 @@
     ],
 )
 def test_an_invalid_message_gets_a_fatal_error_and_a_close(data: bytes) -> None:
-    with deployment() as given:
-        client = Client(given.port, start=False)
+    with deployment() as cluster:
+        client = Client(cluster.port, start=False)
         client.sock.sendall(data)
         client.sock.shutdown(socket.SHUT_WR)
         assert b"FATAL" in client.file.read()
-        assert given.client().ask(query()).rows
+        assert cluster.client().ask(query()).rows
 
 
 # --- The bulletin.
@@ -294,41 +298,41 @@
 
 def test_a_draining_engine_gets_no_new_queries() -> None:
     first, second = scripted_engine("s-1"), scripted_engine("s-2")
-    with deployment(first, second) as given:
-        given.bulletin.publish(first.entry("leaving"))
+    with deployment(first, second) as cluster:
+        cluster.bulletin.publish(first.entry("leaving"))
         time.sleep(0.5)
         first.done.clear()
-        client = given.client()
+        client = cluster.client()
         assert all(client.ask(query()).rows for _ in range(30))
         assert not first.done
 
 
 def test_an_address_can_be_reused_by_another_engine() -> None:
     old = scripted_engine("s-1")
-    with deployment(old) as given:
-        assert given.client().ask(query()).rows
+    with deployment(old) as cluster:
+        assert cluster.client().ask(query()).rows
         old.close()
         new = scripted_engine("s-2", port=old.port)
-        given.engines.append(new)
-        given.bulletin.publish(old.entry("left"), new.entry(startedAtMs=int(time.time() * 1000) - 60_000))
-        wait_for(lambda: given.client().ask(query(ttl=1000)).rows)
+        cluster.engines.append(new)
+        cluster.bulletin.publish(old.entry("left"), new.entry(startedAtMs=int(time.time() * 1000) - 60_000))
+        wait_for(lambda: cluster.client().ask(query(ttl=1000)).rows)
         assert new.done
 
 
 def test_the_bulletin_resumes_after_a_cut_connection() -> None:
     first, second = scripted_engine("s-1"), scripted_engine("s-2")
-    with deployment(first) as given:
-        given.engines.append(second)
-        wait_for(lambda: given.bulletin.asked)
-        given.bulletin.publish(second.entry())
-        wait_for(lambda: [given.client().ask(query()) for _ in range(5)] and second.done)
-        given.bulletin.cut()
-        wait_for(lambda: given.bulletin.asked[-1] == 2)
+    with deployment(first) as cluster:
+        cluster.engines.append(second)
+        wait_for(lambda: cluster.bulletin.asked)
+        cluster.bulletin.publish(second.entry())
+        wait_for(lambda: [cluster.client().ask(query()) for _ in range(5)] and second.done)
+        cluster.bulletin.cut()
+        wait_for(lambda: cluster.bulletin.asked[-1] == 2)
 
 
 def test_invalid_bulletin_lines_change_nothing() -> None:
-    with deployment() as given:
-        wait_for(lambda: given.bulletin.open)
+    with deployment() as cluster:
+        wait_for(lambda: cluster.bulletin.open)
         for line in (
             b"{",
             b'"x"',
@@ -339,73 +343,73 @@
             b'{"no":4,"roster":{"instances":[7,null,[]]}}',
             b"1",
         ):
-            given.bulletin.open[0].sendall(line + b"\n")
+            cluster.bulletin.open[0].sendall(line + b"\n")
         time.sleep(0.3)
-        assert given.client().ask(query()).rows
+        assert cluster.client().ask(query()).rows
 
 
-# --- Start and end.
+# --- Start and stop.
 
 
 def test_sigterm_finishes_open_queries_and_still_accepts_for_a_while() -> None:
-    with deployment(scripted_engine(delay=0.6)) as given:
-        early = given.client()
+    with deployment(scripted_engine(delay=0.6)) as cluster:
+        early = cluster.client()
         early.send(query())
-        wait_for(lambda: given.engines[0].done)
-        given.gateway.signal(signal.SIGTERM)
+        wait_for(lambda: cluster.engines[0].done)
+        cluster.gateway.signal(signal.SIGTERM)
         time.sleep(0.4)
-        late = given.client()
+        late = cluster.client()
         late.send(query())
         assert early.answer().rows and late.answer().rows
-        assert given.gateway.process.wait(PATIENCE_S) == 0
-        assert re.search(r"event=queries served=2 taken=2", given.gateway.text())
+        assert cluster.gateway.process.wait(PATIENCE_S) == 0
+        assert re.search(r"event=queries served=2 taken=2", cluster.gateway.text())
 
 
 def test_sigterm_fails_queries_that_do_not_finish_in_time() -> None:
-    with deployment(scripted_engine(mode="silent")) as given:
-        client = given.client()
+    with deployment(scripted_engine(mode="silent")) as cluster:
+        client = cluster.client()
         client.send(query("once", ttl=8000))
-        wait_for(lambda: given.engines[0].done)
+        wait_for(lambda: cluster.engines[0].done)
         start = time.monotonic()
-        given.gateway.signal(signal.SIGTERM)
+        cluster.gateway.signal(signal.SIGTERM)
         answer = client.answer()
         assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate)
         assert time.monotonic() - start < 3.65
-        assert given.gateway.process.wait(PATIENCE_S) == 0
+        assert cluster.gateway.process.wait(PATIENCE_S) == 0
 
 
 def test_counters_are_printed_on_a_signal() -> None:
-    with deployment() as given:
-        assert given.client().ask(query()).rows
-        given.gateway.signal(signal.SIGUSR1)
-        wait_for(lambda: "event=queries served=1 taken=1" in given.gateway.text())
-        assert "event=attempts ok=1 sent=1" in given.gateway.text()
+    with deployment() as cluster:
+        assert cluster.client().ask(query()).rows
+        cluster.gateway.signal(signal.SIGUSR1)
+        wait_for(lambda: "event=queries served=1 taken=1" in cluster.gateway.text())
+        assert "event=attempts ok=1 sent=1" in cluster.gateway.text()
 
 
 def test_a_failed_start_prints_one_line_and_exits_with_a_status(tmp_path: Path) -> None:
     with listener() as busy:
         port = busy.getsockname()[1]
         config = {"listen": f"127.0.0.1:{port}", "bulletin": "127.0.0.1:9", "settings": settings()}
-        for given, environment, says in (
+        for given_config, environment, message in (
             (None, {"RELAY_CONFIG": str(tmp_path / "none.json")}, "can't read the configuration"),
             ({"listen": "x"}, {}, "can't be used"),
             (config, {}, "can't listen"),
         ):
-            gateway = Gateway(given, tmp_path, **environment)
+            gateway = Gateway(given_config, tmp_path, **environment)
             assert gateway.process.wait(PATIENCE_S) == 1
-            assert says in gateway.text() and len(gateway.text().splitlines()) <= 6
+            assert message in gateway.text() and len(gateway.text().splitlines()) <= 6
 
 
 def test_clients_beyond_the_descriptor_limit_wait_and_are_served() -> None:
-    with deployment(scripted_engine(delay=0.05), sockets=64) as given:
+    with deployment(scripted_engine(delay=0.05), sockets=64) as cluster:
         answers: list[str] = []
 
-        def one() -> None:
-            client = given.client()
+        def ask_once() -> None:
+            client = cluster.client()
             answers.append(client.ask(query()).status)
             client.close()
 
-        threads = [threading.Thread(target=one) for _ in range(120)]
+        threads = [threading.Thread(target=ask_once) for _ in range(120)]
         for thread in threads:
             thread.start()
         for thread in threads:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -52,9 +52,9 @@
         self.pool = LinkPool(self.limits, self.inbox, self.counters, log, None, False)
         self.sock = listener()
         self.sock.settimeout(5)
-        where = "{}:{}".format(*self.sock.getsockname())
+        address = "{}:{}".format(*self.sock.getsockname())
         self.pool.apply_engine_list(
-            EngineListUpdate(api.EngineListReceived(api.ListKind.CACHED, (engine("e1"),)), {"e1": where})
+            EngineListUpdate(api.EngineListReceived(api.ListKind.CACHED, (engine("e1"),)), {"e1": address})
         )
         self.accepted: list[socket.socket] = []
         self.last_call_id = 0
@@ -191,9 +191,8 @@
     async def scenario(harness: Harness) -> None:
         harness.answer(await harness.send())
         await harness.wait_until(harness.outcomes)
-        harness.accepted[0].sendall(
-            b"0000000000000001 serv"
-        )  # an answer to an unknown request, never completed
+        # An answer to an unknown request, never completed.
+        harness.accepted[0].sendall(b"0000000000000001 serv")
         await harness.wait_until(harness.has_partial_answer)
         harness.answer(await harness.send())
         await harness.wait_until(lambda: len(harness.outcomes()) == 2)
@@ -228,8 +227,16 @@
 
 def test_exclusive_attempts_share_no_link_while_descriptors_allow() -> None:
     async def scenario(harness: Harness) -> None:
-        for alone, links in ((False, 1), (False, 1), (True, 2), (False, 2), (True, 3), (True, 3), (False, 3)):
-            await harness.send(alone)
+        for exclusive, links in (
+            (False, 1),
+            (False, 1),
+            (True, 2),
+            (False, 2),
+            (True, 3),
+            (True, 3),
+            (False, 3),
+        ):
+            await harness.send(exclusive)
             assert len(harness.accepted) == links
         assert not harness.outcomes()
 
@@ -241,13 +248,13 @@
         await harness.send()
         block = b"00000000000000ff update how=done,datum=0.5 0\r\n\r\n" * 20_000
         flood = asyncio.create_task(asyncio.to_thread(harness.accepted[0].sendall, block * 5))
-        longest = 0.0  # CPU time of this thread, so that other load on the machine doesn't count
+        longest_s = 0.0  # CPU time of this thread, so that other load on the machine doesn't count
         while not flood.done():
             start = time.thread_time()
             await asyncio.sleep(0)
-            longest = max(longest, time.thread_time() - start)
+            longest_s = max(longest_s, time.thread_time() - start)
         await flood
-        assert longest < 0.2
+        assert longest_s < 0.2
 
     run_scenario(scenario)
 
@@ -269,10 +276,10 @@
     await asyncio.sleep(0.05)
     harness.accepted[0].setblocking(False)
     try:
-        read = harness.accepted[0].recv(4096)
+        received = harness.accepted[0].recv(4096)
     except BlockingIOError:
-        read = b""
-    assert bool(read) == (not harness.outcomes())
+        received = b""
+    assert bool(received) == (not harness.outcomes())
     return harness.outcomes()
 
 
@@ -302,7 +309,7 @@
 @pytest.mark.parametrize(
     "change", [drain_engine, close_client, mark_client_left, expire_attempt, pass_latest_start]
 )
-def test_an_attempt_does_not_start_if_it_is_void_once_connected(
+def test_an_attempt_does_not_start_if_it_is_no_longer_valid_once_connected(
     change: Callable[[Harness, Attempt], None],
 ) -> None:
     async def scenario(harness: Harness) -> None:
@@ -340,8 +347,8 @@
 def test_a_not_run_answer_after_a_sign_of_execution_counts_as_an_error(sign: bytes, word: bytes) -> None:
     async def scenario(harness: Harness) -> None:
         attempt = await harness.send()
-        call = attempt.query.statement.call_id
-        harness.accepted[0].sendall(call + b" " + sign + b"\r\n" + call + b" " + word + b" - 0\r\n\r\n")
+        call_id = attempt.query.statement.call_id
+        harness.accepted[0].sendall(call_id + b" " + sign + b"\r\n" + call_id + b" " + word + b" - 0\r\n\r\n")
         await asyncio.sleep(0.05)
         assert harness.outcomes() == [api.Outcome.ERROR]
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Lines of one kind are limited, and say what was held back; each is one line, whatever it quotes."""
+"""Log lines are rate-limited per kind, tell how many were suppressed, and never span several lines."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 def without_timestamps(text: str) -> list[str]:
-    """Lines without their time."""
+    """Lines without their timestamps."""
     return [line.partition(" ")[2] for line in text.splitlines()]
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""The program as `run` starts it, where the kernel refuses new processes, io_uring, splice and IPv6."""
+"""The gateway under a seccomp filter that refuses new processes, io_uring, splice and IPv6."""
 
 import platform
 import signal
@@ -42,33 +42,33 @@
     ],
 )
 def test_the_filter_refuses(code: str, error: str) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [*FILTER_COMMAND, sys.executable, "-c", code],
         capture_output=True,
         text=True,
         cwd=ROOT,
         timeout=PATIENCE_S,
     )
-    assert done.returncode == 1 and error in done.stderr
+    assert process.returncode == 1 and error in process.stderr
 
 
 def test_the_filter_lets_threads_start() -> None:
     code = "import threading; t = threading.Thread(target=print, args=('ran',)); t.start(); t.join()"
-    done = subprocess.run(
+    process = subprocess.run(
         [*FILTER_COMMAND, sys.executable, "-c", code],
         capture_output=True,
         text=True,
         cwd=ROOT,
         timeout=PATIENCE_S,
     )
-    assert done.stdout == "ran\n"
+    assert process.stdout == "ran\n"
 
 
 def test_the_gateway_runs_and_reloads_under_the_filter() -> None:
-    with deployment() as given, tempfile.TemporaryDirectory() as folder:
-        with listener() as free:
-            port = free.getsockname()[1]
-        gateway = FilteredGateway({**given.config, "listen": f"127.0.0.1:{port}"}, Path(folder))
+    with deployment() as cluster, tempfile.TemporaryDirectory() as folder:
+        with listener() as free_listener:
+            port = free_listener.getsockname()[1]
+        gateway = FilteredGateway({**cluster.config, "listen": f"127.0.0.1:{port}"}, Path(folder))
         try:
             wait_for(lambda: "serves on" in gateway.text())
             client = Client(port)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""New configurations while the program serves, and bulletins that stop."""
+"""Configuration reloads while the gateway serves, and bulletins that fall silent."""
 
 import json
 import signal
@@ -9,68 +9,68 @@
 from whintrail.standins.scripted import Bulletin, Deployment, Engine, deployment, query, wait_for
 
 
-def reload(given: Deployment, text: str) -> None:
-    given.gateway.path.write_text(text)
-    given.gateway.signal(signal.SIGHUP)
+def reload(cluster: Deployment, text: str) -> None:
+    cluster.gateway.path.write_text(text)
+    cluster.gateway.signal(signal.SIGHUP)
 
 
-def move_bulletin(given: Deployment) -> Bulletin:
-    """A bulletin that goes on where the old one stops, at another address."""
-    new = Bulletin()
-    new.events = given.bulletin.events
-    given.bulletin.mute = True
-    reload(given, json.dumps({**given.config, "bulletin": new.where}))
-    return new
+def move_bulletin(cluster: Deployment) -> Bulletin:
+    """Start a bulletin at another address, and reconfigure the gateway to follow it."""
+    bulletin = Bulletin()
+    bulletin.events = cluster.bulletin.events
+    cluster.bulletin.mute = True
+    reload(cluster, json.dumps({**cluster.config, "bulletin": bulletin.where}))
+    return bulletin
 
 
 def test_a_new_configuration_moves_the_bulletin_and_loses_no_query() -> None:
     first, second = Engine("s-1"), Engine("s-2")
     first.delay = 0.5
-    with deployment(first) as given:
-        given.engines.append(second)
-        client = given.client()
+    with deployment(first) as cluster:
+        cluster.engines.append(second)
+        client = cluster.client()
         client.send(query())
         wait_for(lambda: first.done)
-        new = move_bulletin(given)
+        new = move_bulletin(cluster)
         try:
             wait_for(lambda: new.asked == [1], 4.0)
             new.publish(first.entry("leaving"), second.entry())
             assert client.answer().rows
-            wait_for(lambda: given.client().ask(query()).rows and second.done, 3.0)
+            wait_for(lambda: cluster.client().ask(query()).rows and second.done, 3.0)
             count = len(first.done)
             assert all(client.ask(query()).rows for _ in range(5))
             assert len(first.done) == count
-            assert 'kind=configuration event="taken' in given.gateway.text()
+            assert 'kind=configuration event="taken' in cluster.gateway.text()
         finally:
             new.close()
 
 
 @pytest.mark.parametrize("text", ["", '{"bulletin": "127.0.0.1', "[]", "{}", '{"bulletin": "nowhere:1"}'])
 def test_an_invalid_configuration_leaves_the_old_one_in_force(text: str) -> None:
-    with deployment(Engine("s-1")) as given:
-        reload(given, text)
-        wait_for(lambda: 'kind=configuration event="the old one stays in force' in given.gateway.text())
-        given.bulletin.publish(given.engines[0].entry("leaving"))
-        wait_for(lambda: given.client().ask(query(ttl=300)).sqlstate)  # the old bulletin is still heard
+    with deployment(Engine("s-1")) as cluster:
+        reload(cluster, text)
+        wait_for(lambda: 'kind=configuration event="the old one stays in force' in cluster.gateway.text())
+        cluster.bulletin.publish(cluster.engines[0].entry("leaving"))
+        wait_for(lambda: cluster.client().ask(query(ttl=300)).sqlstate)  # the old bulletin is still followed
 
 
 def test_repeated_reload_signals_do_not_reconnect_the_bulletin() -> None:
-    with deployment() as given:
-        wait_for(lambda: given.bulletin.asked)
-        client = given.client()
+    with deployment() as cluster:
+        wait_for(lambda: cluster.bulletin.asked)
+        client = cluster.client()
         for _ in range(20):
-            given.gateway.signal(signal.SIGHUP)
+            cluster.gateway.signal(signal.SIGHUP)
             assert client.ask(query()).rows
-        assert given.bulletin.asked == [1]
+        assert cluster.bulletin.asked == [1]
 
 
 def test_a_silent_bulletin_connection_is_replaced() -> None:
-    with deployment() as given:
-        wait_for(lambda: given.bulletin.asked)
-        given.bulletin.mute = True
+    with deployment() as cluster:
+        wait_for(lambda: cluster.bulletin.asked)
+        cluster.bulletin.mute = True
         start = time.monotonic()
-        wait_for(lambda: len(given.bulletin.asked) > 1)
+        wait_for(lambda: len(cluster.bulletin.asked) > 1)
         assert time.monotonic() - start < 2.5
-        given.bulletin.mute = False
-        given.bulletin.publish(given.engines[0].entry("leaving"))
-        wait_for(lambda: given.client().ask(query(ttl=300)).sqlstate, 4.0)
+        cluster.bulletin.mute = False
+        cluster.bulletin.publish(cluster.engines[0].entry("leaving"))
+        wait_for(lambda: cluster.client().ask(query(ttl=300)).sqlstate, 4.0)
--- a/tests/test_rough_clients.py
+++ b/tests/test_rough_clients.py
@@ -20,30 +20,30 @@
 
 
 def test_idle_sessions_are_evicted_for_new_clients() -> None:
-    with deployment(sockets=64) as given:  # limit of 28 client connections
-        start, stay = time.monotonic(), []
+    with deployment(sockets=64) as cluster:  # limit of 28 client connections
+        start, clients = time.monotonic(), []
         for _ in range(70):
-            stay.append(given.client())
-            assert stay[-1].ask(query()).rows
+            clients.append(cluster.client())
+            assert clients[-1].ask(query()).rows
         assert time.monotonic() - start < 5.0
-        assert stay[0].file.read() == b""  # the longest idle session was closed without an error
-        assert stay[-1].ask(query()).rows
+        assert clients[0].file.read() == b""  # the longest idle session was closed without an error
+        assert clients[-1].ask(query()).rows
 
 
 def test_silent_connections_are_evicted_for_new_clients() -> None:
-    with deployment(sockets=64) as given:
-        silent = [Client(given.port, start=False) for _ in range(60)]
+    with deployment(sockets=64) as cluster:
+        silent = [Client(cluster.port, start=False) for _ in range(60)]
         start = time.monotonic()
-        assert given.client().ask(query()).rows
+        assert cluster.client().ask(query()).rows
         assert time.monotonic() - start < 1.0
         assert silent[0].file.read() == b""
 
 
 @pytest.mark.parametrize("first", [b"", b"\0\0", Client.startup(), Client.startup() + b"Q\0\0\1\0/* op="])
 def test_a_client_without_a_complete_query_is_disconnected_in_time(first: bytes) -> None:
-    with deployment() as given:
+    with deployment() as cluster:
         start = time.monotonic()
-        client = Client(given.port, start=False)
+        client = Client(cluster.port, start=False)
         client.sock.sendall(first)
         received = client.file.read()
         assert 1.0 < time.monotonic() - start < 2.8
@@ -51,8 +51,8 @@
 
 
 def test_a_session_may_idle_between_queries_but_not_within_one() -> None:
-    with deployment() as given:
-        client = given.client()
+    with deployment() as cluster:
+        client = cluster.client()
         assert client.ask(query()).rows
         time.sleep(2.5)
         assert client.ask(query()).rows
@@ -63,9 +63,9 @@
 
 
 def test_a_60_mb_body_is_refused_at_once_without_delaying_others() -> None:
-    with deployment() as given:
-        other = given.client()
-        client = given.client()
+    with deployment() as cluster:
+        other = cluster.client()
+        client = cluster.client()
         start = time.monotonic()
         client.sock.sendall(b"Q" + struct.pack("!I", 60_000_000))
         block = bytes(1 << 20)
@@ -80,12 +80,12 @@
 
 
 def test_a_client_that_floods_without_reading_is_bounded_and_delays_nobody() -> None:
-    with deployment() as given:
-        flood = given.client()
+    with deployment() as cluster:
+        flood = cluster.client()
         flood.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         flood.sock.settimeout(0.05)
         block, sent = Client.message(b"S", b"") * 20_000, 0
-        other = given.client()
+        other = cluster.client()
         for _ in range(40):
             try:
                 sent += flood.sock.send(block)
@@ -102,17 +102,19 @@
     async def scenario() -> None:
         limits = Limits.read({"settings": {}})
         sessions = SessionServer(limits, Inbox(Clock()), Counters(), Log("test", 5.0, 1.0))
-        ours, theirs = socket.socketpair()
-        sessions._start_session(ours)
+        gateway_side, client_side = socket.socketpair()
+        sessions._start_session(gateway_side)
         ((session, _),) = sessions.sessions.values()
-        left = weakref.ref(session)
+        reference = weakref.ref(session)
         del session
-        theirs.sendall(Client.startup() + Client.simple(";"))
+        client_side.sendall(Client.startup() + Client.simple(";"))
         await asyncio.sleep(0.05)
-        assert theirs.recv(4096) and left() is not None
-        theirs.close()
+        assert client_side.recv(4096) and reference() is not None
+        client_side.close()
         await asyncio.sleep(0.05)
-        assert left() is None and not (sessions.sessions or sessions.idle_since or sessions.ending_sessions)
+        assert reference() is None and not (
+            sessions.sessions or sessions.idle_since or sessions.ending_sessions
+        )
 
     gc.disable()
     try:
