--- a/whintrail/gateway/fleet_control.py
+++ b/whintrail/gateway/fleet_control.py
@@ -132,11 +132,8 @@
 
     def settings_row(self) -> dict[str, object]:
         """The version of the settings in force, and this gateway's lease on it."""
-        member, version_state, now = (
-            self._version_member(),
-            self.fleet.node.state.versions,
-            self.fleet.now_us(),
-        )
+        member, version_state = self._version_member(), self.fleet.node.state.versions
+        now = self.fleet.now_us()
         version = member.lease.active_version(now)
         row: dict[str, object] = {
             "acts_by": version.label,
--- a/whintrail/gateway/limits.py
+++ b/whintrail/gateway/limits.py
@@ -40,7 +40,7 @@
     accepts_per_turn: int
     messages_per_turn: int
     datagrams_per_turn: int  # from other gateways
-    # Times in seconds.
+    # Times, each with its unit.
     connect_timeout_s: float
     link_idle_timeout_s: float
     link_silence_timeout_us: int  # without a received byte while requests are open
@@ -61,8 +61,7 @@
     finish_after_stop_s: float
     # Allocations between two runs of the garbage collector, by generation.
     gc_thresholds: tuple[int, int, int]
-    # Times in microseconds.
-    answer_slack_us: int
+    answer_slack_us: int  # past its deadline, before the dispatcher itself fails a query
     new_query_grace_us: int  # a client is not checked for a disconnect this soon after its query
     timeline_interval_us: int
     call_id_retention_us: int  # minimum time for which the id of a finished query is remembered
@@ -70,11 +69,10 @@
     @staticmethod
     def read(config: Mapping[str, Any]) -> "Limits":
         """Read the configuration's limits and settings; the rest are fixed values."""
-        process_limits, settings = (
-            get_or_default(config, "limits", {}),
-            get_or_default(config, "settings", {}),
-        )
-        engine_limits, rules = get_or_default(settings, "Limits", {}), get_or_default(settings, "Rules", {})
+        process_limits = get_or_default(config, "limits", {})
+        settings = get_or_default(config, "settings", {})
+        engine_limits = get_or_default(settings, "Limits", {})
+        rules = get_or_default(settings, "Rules", {})
         sockets = int(get_or_default(process_limits, "sockets", 1024))
         memory_mb = float(get_or_default(process_limits, "memory_mb", 192))
         client_connections = max(8, sockets * 45 // 100)
