--- a/whintrail/gateway/bulletin.py
+++ b/whintrail/gateway/bulletin.py
@@ -130,9 +130,8 @@
                 raise BulletinError("event without a number")
             roster = data.get("roster")
             is_full = isinstance(roster, dict) and roster.get("reset") is True
-            if (
-                number > self.last_event_number + 1 and not is_full
-            ):  # a full list replaces all events before it
+            # Events were missed; only a full list replaces them.
+            if number > self.last_event_number + 1 and not is_full:
                 return False
             self._apply_event(data)
         except (orjson.JSONDecodeError, BulletinError) as error:
--- a/whintrail/gateway/links.py
+++ b/whintrail/gateway/links.py
@@ -552,10 +552,8 @@
         """Check all links periodically; close idle ones a little before the engine would."""
         while True:
             await asyncio.sleep(self.limits.sweep_interval_s)
-            now_us, idle_before_s = (
-                self.inbox.clock.now_us(),
-                self.now_s() - self.limits.link_idle_timeout_s * IDLE_CLOSE_FRACTION,
-            )
+            now_us = self.inbox.clock.now_us()
+            idle_before_s = self.now_s() - self.limits.link_idle_timeout_s * IDLE_CLOSE_FRACTION
             for link in [open_link for links in self.links.values() for open_link in links]:
                 link.check_health(now_us)
                 is_unlisted = link.engine not in self.addresses
--- a/whintrail/gateway/sessions.py
+++ b/whintrail/gateway/sessions.py
@@ -90,9 +90,8 @@
                 else:
                     self._process_messages()
                 receive_count += 1
-                if (
-                    receive_count % receives_per_turn == 0
-                ):  # let other tasks run if the client never stops sending
+                # Let other tasks run, even if the client never stops sending.
+                if receive_count % receives_per_turn == 0:
                     await asyncio.sleep(0)
         finally:
             self._detach_client()
