--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The owner alone, with engines and a client that only remember: one end for each attempt and query."""
+"""Unit tests of the dispatcher with a fake client and fake engines that only record calls."""
 
 import asyncio
 import gc
@@ -31,6 +31,8 @@
 
 
 class FakeEngines:
+    """Records sent and cancelled attempts."""
+
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
         self.cancelled: list[Attempt] = []
@@ -49,9 +51,11 @@
 
 
 class FakeClient:
+    """Records the answers to its queries."""
+
     def __init__(self) -> None:
         self.answers: list[str] = []
-        self.closed, self.liveness_checks = False, 0  # its end, which nobody has read so far
+        self.closed, self.liveness_checks = False, 0  # closed: no session has read the end yet
 
     def send_result(self, query: Query, pages: list[Rows]) -> None:
         self.answers.append("served")
@@ -71,15 +75,15 @@
 
 
 class Harness:
-    """An owner that knows one engine, and its one client."""
+    """A dispatcher with one engine and one client."""
 
     def __init__(self) -> None:
         self.engines, self.client, self.counters = FakeEngines(), FakeClient(), Counters()
         self.inbox, self.last_call_id = Inbox(Clock()), 0
-        given = settings(query_class(), query_class("once", effect=api.Effect.ONCE))
+        policy_settings = settings(query_class(), query_class("once", effect=api.Effect.ONCE))
         limits = Limits.read({"settings": {"Limits": {"MaxOpen": 100}}})
         self.dispatcher = Dispatcher(
-            given, 7, limits, self.inbox, self.engines, self.counters, Log("test", 5.0, 1.0)
+            policy_settings, 7, limits, self.inbox, self.engines, self.counters, Log("test", 5.0, 1.0)
         )
         self.inbox.put(
             EngineListUpdate(
@@ -214,14 +218,14 @@
         raise ZeroDivisionError("for this test")
 
     async def scenario(harness: Harness) -> None:
-        module = harness.dispatcher.policy
+        policy = harness.dispatcher.policy
         harness.ask(ttl_ms=300)
         await let_dispatcher_run()
-        judge = module._learn_from_outcome
-        module._learn_from_outcome = broken  # type: ignore[method-assign,assignment]
+        original = policy._learn_from_outcome
+        policy._learn_from_outcome = broken  # type: ignore[method-assign,assignment]
         harness.inbox.put(AttemptResult(harness.engines.sent[0], api.Outcome.ERROR))
         await let_dispatcher_run()
-        module._learn_from_outcome = judge  # type: ignore[method-assign]
+        policy._learn_from_outcome = original  # type: ignore[method-assign]
         harness.ask()
         await let_dispatcher_run()
         harness.inbox.put(AttemptResult(harness.engines.sent[1], OK, pages=[]))
@@ -272,19 +276,18 @@
 
 def test_an_answered_query_is_released_and_leaves_no_timer() -> None:
     async def scenario(harness: Harness) -> None:
-        before = len(harness.dispatcher.timers)
+        timer_count = len(harness.dispatcher.timers)
         query = harness.ask(ttl_ms=60_000)
         await let_dispatcher_run()
         harness.inbox.put(AttemptResult(harness.engines.sent.pop(), OK))
         await let_dispatcher_run()
-        assert query.finished and len(harness.dispatcher.timers) == before
+        assert query.finished and len(harness.dispatcher.timers) == timer_count
         del query
-        harness.inbox.put(
-            EngineListUpdate(api.EngineListReceived(api.ListKind.DELTA, ()), {})
-        )  # the last input is still in hand
+        # Replaces the last input, which run() still holds.
+        harness.inbox.put(EngineListUpdate(api.EngineListReceived(api.ListKind.DELTA, ()), {}))
         await let_dispatcher_run()
         gc.collect()
-        assert not [thing for thing in gc.get_objects() if isinstance(thing, Query)]
+        assert not [item for item in gc.get_objects() if isinstance(item, Query)]
 
     run_scenario(scenario)
 
@@ -292,7 +295,7 @@
 def test_no_attempt_starts_for_a_client_that_left_while_its_query_was_queued() -> None:
     async def scenario(harness: Harness) -> None:
         query = harness.ask()
-        query.client_left = True  # as the session sets it, ahead of what it puts on the queue
+        query.client_left = True  # the session sets it before it puts ClientDeparted
         harness.inbox.put(ClientDeparted(query))
         await let_dispatcher_run()
         assert (
@@ -306,12 +309,12 @@
 
 def test_no_further_attempt_starts_after_the_client_has_closed() -> None:
     async def scenario(harness: Harness) -> None:
-        two = api.EngineListReceived(api.ListKind.FULL, (engine("e1"), engine("e2")))
-        harness.inbox.put(EngineListUpdate(two, {"e1": "127.0.0.1:9", "e2": "127.0.0.1:9"}))
+        two_engines = api.EngineListReceived(api.ListKind.FULL, (engine("e1"), engine("e2")))
+        harness.inbox.put(EngineListUpdate(two_engines, {"e1": "127.0.0.1:9", "e2": "127.0.0.1:9"}))
         harness.ask()
         await let_dispatcher_run()
         (first,) = harness.engines.sent
-        harness.client.closed = True  # its end is in the kernel, and no session has read it
+        harness.client.closed = True  # the end is in the kernel, and no session has read it
         harness.inbox.put(AttemptResult(first, api.Outcome.CONNECT_FAILED))
         await let_dispatcher_run()
         assert len(harness.engines.sent) == 1 and harness.client.liveness_checks >= 1
@@ -322,7 +325,7 @@
 def test_no_attempt_starts_for_a_query_that_expired_in_the_queue() -> None:
     async def scenario(harness: Harness) -> None:
         query = harness.ask(ttl_ms=400)
-        time.sleep(0.5)  # the owner has no turn: it takes the query at the time it came, when it still could
+        time.sleep(0.5)  # blocks the event loop: the query expires while it is queued
         await let_dispatcher_run()
         assert query.attempts_started and not harness.engines.sent and len(harness.client.answers) == 1
 
