--- a/whintrail/fleet/leader.py
+++ b/whintrail/fleet/leader.py
@@ -39,6 +39,7 @@
     DONE,
     REFUSED,
     RETRY_LATER,
+    Change,
     ChangeReply,
     ChangeRequest,
     DrainRequest,
@@ -91,6 +92,18 @@
     command: AnyCommand
 
 
+# Names of the requests in log events; they are part of the operator's interface.
+REQUEST_NAMES: dict[type[Change], str] = {
+    SlotRequest: "slot",
+    SlotReturn: "giveback",
+    DrainRequest: "drain",
+    UndrainRequest: "undrain",
+    ReleaseRequest: "release",
+    ReleaseStatusRequest: "turn",
+    VersionRequest: "version",
+}
+
+
 LogEvent = tuple[str, dict[str, object]]  # for log and counters: what, and its particulars
 
 
@@ -215,8 +228,7 @@
             self._reply(origin, ask.id, word, self._current_fence(origin, boot_id, change), text)
             if word != DONE and self.last_refusals.get(origin) != text:  # once for each reason
                 self.last_refusals[origin] = text
-                kind = type(change).__name__.removeprefix("Want").lower()
-                self.log_event(f"{kind} refused", {"member": origin, "why": text})
+                self.log_event(f"{REQUEST_NAMES[type(change)]} refused", {"member": origin, "why": text})
         else:
             self._propose(now, command, PendingCommand(origin, ask.id, command))
 
