--- a/whintrail/fleet/__init__.py
+++ b/whintrail/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateways of a fleet tell one another. Pure: no socket and no clock stands here."""
+"""Coordination among the gateways of a fleet, without I/O: the caller passes in datagrams and the time."""
--- a/whintrail/fleet/budget.py
+++ b/whintrail/fleet/budget.py
@@ -1,15 +1,19 @@
-"""How much may be out at a time, and what counts as out. Pure.
+"""Disruption budgets: how many gateways or engines may be unavailable at a time. Pure functions.
 
-What is down unplanned counts like what was let go: a slot is refused while losses have used the budget. In
-doubt a gateway is out: without a fresh report, not yet proven after its start, or never heard of.
+Unplanned losses count like planned ones, so a slot is refused while losses use up the budget. In doubt a
+gateway counts as unavailable: without a fresh report, when it has not served for long enough, or when it was
+never heard from.
 """
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
+MAX_NAMES = 4  # of unavailable members, in a refusal
+MAX_TEXT_CHARS = 150  # of a refusal, which travels in one datagram
+
 
 def absolute_limit(limit: float, total: int) -> int:
-    """A count, or below 1 a share of so many; where anything is allowed at all, one at least."""
+    """Resolves a limit, a count or, below 1, a share of `total`. A share above 0 allows at least one."""
     if limit >= 1:
         return int(limit)
     return max(1, int(limit * total)) if limit > 0 and total else 0
@@ -17,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionBudget:
-    """In all and in a zone, as counts or, below 1, as shares."""
+    """Limits for the whole fleet and for each zone, as counts or, below 1, as shares."""
 
     fleet: float
     zone: float
@@ -25,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """One that is out, and where; no zone: it may be in any."""
+    """An unavailable gateway or engine. Without a known zone it counts in every zone."""
 
     name: str
     zone: str | None
@@ -39,19 +43,22 @@
     zone_sizes: Mapping[str, int],
     total: int,
 ) -> str:
-    """Empty where one more of `zone` may go out; else why not. `sizes`: how many there are by zone."""
-    found = sorted(unavailable, key=lambda out: out.name)
+    """Says why no further member of `zone` may become unavailable; empty if one may.
+
+    `zone_sizes` holds the number of members in each zone.
+    """
+    unavailable_sorted = sorted(unavailable, key=lambda member: member.name)
     limit = absolute_limit(budget.fleet, total)
-    if len(found) + 1 > limit:
-        return _describe_exhausted(found, limit, "")
+    if len(unavailable_sorted) + 1 > limit:
+        return _describe_exhausted(unavailable_sorted, limit, "")
     if zone is None or not zone_sizes:
         return ""
-    there = [out for out in found if out.zone is None or out.zone == zone]
+    in_zone = [member for member in unavailable_sorted if member.zone is None or member.zone == zone]
     limit = absolute_limit(budget.zone, zone_sizes.get(zone, 1))
-    return _describe_exhausted(there, limit, f" in {zone}") if len(there) + 1 > limit else ""
+    return _describe_exhausted(in_zone, limit, f" in {zone}") if len(in_zone) + 1 > limit else ""
 
 
 def _describe_exhausted(unavailable: Collection[Unavailable], limit: int, location: str) -> str:
-    names = ", ".join(f"{out.name} ({out.reason})" for out in list(unavailable)[:4])
-    more = f" and {len(unavailable) - 4} more" if len(unavailable) > 4 else ""
-    return f"{len(unavailable)} of {limit} out{location}: {names}{more}"[:150]
+    names = ", ".join(f"{member.name} ({member.reason})" for member in list(unavailable)[:MAX_NAMES])
+    more = f" and {len(unavailable) - MAX_NAMES} more" if len(unavailable) > MAX_NAMES else ""
+    return f"{len(unavailable)} of {limit} out{location}: {names}{more}"[:MAX_TEXT_CHARS]
--- a/whintrail/fleet/checksum.py
+++ b/whintrail/fleet/checksum.py
@@ -1,7 +1,7 @@
-"""CRC-32C, from the library's extension alone.
+"""CRC-32C from the crc32c library, loading only its extension module.
 
-The library's package imports argparse and the package metadata, whose parsers take 1.9 MB of a gateway that
-may have 32; its extension needs none of them.
+Importing the library's package also imports argparse and the package metadata parsers. They take 1.9 MB, of a
+gateway that may have only 32 MB; the extension module needs none of them.
 """
 
 import sys
@@ -27,11 +27,11 @@
                     if spec is not None:
                         module = module_from_spec(spec)
                         loader.exec_module(module)
-                        found: Checksum = module.crc32c
-                        return found
-    from crc32c import crc32c as whole  # it is here already, or its build has another form
+                        checksum: Checksum = module.crc32c
+                        return checksum
+    from crc32c import crc32c as library_checksum  # imported already, or built in another way
 
-    return whole
+    return library_checksum
 
 
 crc32c = _load_extension()
--- a/whintrail/fleet/consensus.py
+++ b/whintrail/fleet/consensus.py
@@ -1,17 +1,18 @@
-"""Agreement of a small council on one order of commands, sans-I/O: Raft's log and leader, Viewstamped
-Replication's recovery, and a way to begin anew once most of it forgot.
+"""Consensus of a few voters on one order of commands, without I/O.
 
-Processes restart from nothing, so a vote or an entry may be forgotten with the process that gave it. Three
-things answer that:
+Log replication, elections with prevote and the leader lease follow Raft. Voters keep nothing on disk, so a
+vote or an entry may be lost with the process that gave it; three rules keep that safe:
 
-- A member that starts is *recovering*. It votes for nobody and counts for no majority until most of the
-  council, the leader of the latest term among them, have answered the nonce of this start, and it holds all
-  that the leader held when it answered (Liskov, Cowling: "Viewstamped Replication Revisited", 2012, 4.3).
-- A ballot is drawn at random, and what a member said as an earlier process counts for nothing.
-- Where most are recovering at once no majority can vouch for anything. Then *all* of the council have to
-  agree to a new epoch, each after `quarantine_us` without a leader; who knows most leads it.
+- A voter that starts is *recovering*, as in Viewstamped Replication (Liskov, Cowling: "Viewstamped
+  Replication Revisited", 2012, section 4.3). It neither votes nor counts towards a quorum until a quorum,
+  including the leader of the latest term, has answered the nonce of this start, and until it holds every
+  entry that the leader held when it answered.
+- Each candidacy has a random ballot, and messages from an earlier process of a voter are ignored.
+- While too many voters are recovering at once, no quorum can answer. Then *all* voters have to accept a new
+  epoch, each after `quarantine_us` without a leader; the one with the longest history leads it.
 
-Nothing here reads a clock: times are monotonic microseconds of the caller. Safety rests on none of them.
+Times are monotonic microseconds passed in by the caller. Safety of the log doesn't depend on them; only the
+leader lease does.
 """
 
 from collections.abc import Callable
@@ -38,9 +39,14 @@
 )
 
 NONCE_BITS = 31
+MAX_U32 = 0xFFFFFFFF
+ARRAY_HEADER_BYTES = 4  # that the list of entries may need in addition
+MAX_REPLY_AGE_MS = 60_000  # an older reply confirms nothing
 
 
 class Role(Enum):
+    """The role of a voter: those of Raft, and recovery after a start."""
+
     RECOVERING = "recovering"
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -49,27 +55,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusTiming:
+    """Timeouts of the protocol, and how many committed entries the log retains."""
+
     heartbeat_us: int = 200_000
-    election_timeout_us: int = 900_000  # without a leader for so long, and up to `spread_us` more
+    election_timeout_us: int = 900_000  # without a leader; a random part of the jitter is added
     election_jitter_us: int = 600_000
-    recovery_interval_us: int = 300_000  # between two askings
-    quarantine_us: int = 4_000_000  # before all begin anew: longer than a grant can be used
+    recovery_interval_us: int = 300_000  # between two recovery requests
+    quarantine_us: int = 4_000_000  # before a new epoch: longer than a granted slot can be used
     retained_entries: int = 256
 
 
 @dataclass(slots=True)
 class PeerStatus:
-    """What a recovering member has of another."""
+    """What a voter last heard from another about recovery."""
 
     received_at: int
-    leaderless_us: int  # without a leader, as it says
+    leaderless_us: int  # by its own clock
     position: Position
     promised_epoch: int
-    is_recovering: bool  # it is recovering too
+    is_recovering: bool
 
 
 class Consensus:
-    """`take` what comes and `tick` it; it hands decided entries to `decide`, in order, once each."""
+    """One voter. The caller passes messages to `receive`, calls `tick` often and sends what is in `outbox`.
+
+    Committed entries are passed to `on_commit`, in order, once each.
+    """
 
     def __init__(
         self,
@@ -83,70 +94,74 @@
         boot_id: int,
         timing: ConsensusTiming | None = None,
     ) -> None:
-        """`known` is how far this process knows what was decided, from whomever; `renew`: that goes on as the
-        beginning of another epoch, at this position."""
-        self.local_number, self.random, self.on_commit, self.on_new_epoch, self.known_position = (
-            local_number,
-            random,
-            on_commit,
-            on_new_epoch,
-            known_position,
-        )
-        self.voters, self.boot_id = voters, boot_id
+        """`known_position` returns how far this process knows the committed history, from any source.
+
+        `on_new_epoch` is called when that history continues in a new epoch, with its first position.
+        """
+        self.local_number = local_number
+        self.random = random
+        self.on_commit = on_commit
+        self.on_new_epoch = on_new_epoch
+        self.known_position = known_position
+        self.voters = voters
+        self.boot_id = boot_id
         self.peers = tuple(number for number in voters if number != local_number)
         self.quorum = len(voters) // 2 + 1
         self.timing = timing or ConsensusTiming()
         self.outbox: list[tuple[int, Message]] = []
         self.role = Role.RECOVERING
         self.epoch, self.term, self.leader = 0, 0, -1
-        self.voted_for: tuple[int, int] | None = None  # whom in this term, and its ballot
+        self.voted_for: tuple[int, int] | None = None  # the candidate of this term and its ballot
         self.log = Log(self.timing.retained_entries)
-        # As one that recovers.
+        # While recovering.
         self.nonce, self.recovering_since = random.getrandbits(NONCE_BITS) | 1, now
         self.recovery_replies: dict[int, RecoveryReply] = {}
-        self.recovery_target: tuple[int, int, int] | None = None  # epoch, term and index to be held first
+        # Epoch, term and index that recovery has to reach.
+        self.recovery_target: tuple[int, int, int] | None = None
         self.peer_status: dict[int, PeerStatus] = {}
         self.promised_epoch, self.epoch_replies = 0, dict[int, Position]()
-        # As one without a leader, or a candidate.
+        # Without a leader, or as a candidate.
         self.leader_seen_at, self.election_due_at = now, now
         self.ballot, self.is_prevote, self.votes = 0, True, set[int]()
-        # As the leader.
+        # As leader.
         self.match_index: dict[int, int] = {}
         self.next_index: dict[int, int] = {}
         self.acked_at: dict[int, int] = {}
-        self.confirmed_at: dict[int, int] = {}  # when what each answered last was sent, at the latest
+        # When the append that each peer answered last was sent, at the earliest.
+        self.confirmed_at: dict[int, int] = {}
         self.has_resigned, self.now = False, now
-        self.caught_up: set[int] = set()  # others that take part, as far as this leader knows
+        self.caught_up: set[int] = set()  # peers that have finished recovery, as this leader knows
         self.heartbeat_due_at = now
         self.boot_ids: dict[int, int] = {}
-        self.boot_id_views: dict[int, tuple[int, ...]] = {}  # others' births, as each last told
-        self.rejected_index = -1  # where the leader's entries did not follow on ours
-        self.snapshot_peer: int | None = None  # who leads and holds what we can only get as a whole state
+        self.boot_id_views: dict[int, tuple[int, ...]] = {}  # of all voters, as each peer last reported them
+        self.rejected_index = -1  # of the leader's last entries that did not fit the local log
+        # The leader, when only its snapshot can bring the local log up to date.
+        self.snapshot_peer: int | None = None
 
     # --- The log.
 
     @property
     def position(self) -> Position:
-        """The furthest that this process remembers, as a voter or only as one who was told."""
+        """The latest position that this process knows, as a voter or only as a replica."""
         return max((self.epoch, self.log.last_term, self.log.last_index), self.known_position())
 
     def install_snapshot(self, snapshot_position: Position) -> None:
-        """The state as of `position` was taken over as a whole; what is behind it comes from the leader."""
+        """A snapshot was installed; entries after its position come from the leader."""
         if snapshot_position[0] != (self.recovery_target[0] if self.recovery_target else self.epoch):
             return
         if snapshot_position[0] == self.epoch and snapshot_position[2] <= self.log.commit_index:
             return
-        sound = (
+        matches = (
             self.log.term_at(snapshot_position[2]) == snapshot_position[1]
             and self.epoch == snapshot_position[0]
         )
-        self.log.reset_to_snapshot(snapshot_position, keep_rest=sound)
+        self.log.reset_to_snapshot(snapshot_position, keep_rest=matches)
         self.epoch, self.snapshot_peer = snapshot_position[0], None
         self._finish_recovery()
 
     @property
     def snapshot_source(self) -> int | None:
-        """Whose whole state is needed to go on, if anybody's."""
+        """The peer whose snapshot is needed, if any."""
         if (
             self.role is Role.RECOVERING
             and self.recovery_target is not None
@@ -155,9 +170,10 @@
             return self.leader
         return self.snapshot_peer
 
-    # --- In.
+    # --- Received messages.
 
     def receive(self, now: int, sender: int, boot_id: int, message: Message) -> None:
+        """Handles a message of another voter."""
         self.now = now
         if sender not in self.peers:
             return
@@ -176,8 +192,8 @@
                 self._on_append(now, sender, message)
             case AppendReply():
                 self._on_append_reply(now, sender, message)
-            case EpochProposal(epoch, meant):
-                if meant == self.boot_id:
+            case EpochProposal(epoch, intended_boot_id):
+                if intended_boot_id == self.boot_id:
                     self._on_epoch_proposal(now, sender, epoch)
             case EpochReply(epoch, position):
                 if epoch == self.promised_epoch and self.role is Role.RECOVERING:
@@ -187,79 +203,88 @@
                 if epoch == self.promised_epoch and self.role is Role.RECOVERING:
                     self._begin_epoch(now, epoch)
 
-    def _reset_peer(self, origin: int, boot_id: int) -> None:
-        """It started anew: what it held and said before is gone."""
-        self.boot_ids[origin] = boot_id
-        self.match_index[origin] = 0
-        self.next_index[origin] = self.log.last_index + 1
-        self.acked_at.pop(origin, None)
-        self.votes.discard(origin)
-        self.recovery_replies.pop(origin, None)
-        self.epoch_replies.pop(origin, None)
-        self.boot_id_views.pop(origin, None)
-        self.caught_up.discard(origin)
-        self.confirmed_at.pop(origin, None)
+    def _reset_peer(self, sender: int, boot_id: int) -> None:
+        """The peer restarted and lost its state, so everything it said before is void."""
+        self.boot_ids[sender] = boot_id
+        self.match_index[sender] = 0
+        self.next_index[sender] = self.log.last_index + 1
+        self.acked_at.pop(sender, None)
+        self.votes.discard(sender)
+        self.recovery_replies.pop(sender, None)
+        self.epoch_replies.pop(sender, None)
+        self.boot_id_views.pop(sender, None)
+        self.caught_up.discard(sender)
+        self.confirmed_at.pop(sender, None)
 
     def has_leader_lease(self, now: int) -> bool:
-        """Nobody else can lead at this moment: most of the council followed us so shortly ago that they give
-        no vote yet. It rests on clocks that run alike, to a third."""
+        """Whether no other voter can be leader now, because a quorum followed this one too recently to vote.
+
+        This assumes that the voters' clocks run at the same rate, within a third.
+        """
         if self.role is not Role.LEADER:
             return False
-        heard = sorted([now, *(self.confirmed_at.get(n, 0) for n in self.peers)], reverse=True)
-        return now - heard[self.quorum - 1] < self.timing.election_timeout_us * 2 // 3
+        confirmed = sorted([now, *(self.confirmed_at.get(n, 0) for n in self.peers)], reverse=True)
+        return now - confirmed[self.quorum - 1] < self.timing.election_timeout_us * 2 // 3
 
     def unavailable_voters(self, now: int) -> list[int]:
-        """As the leader sees it: others of the council that vouch for nothing at present."""
-        late = 2 * self.timing.election_timeout_us
-        return [n for n in self.peers if n not in self.caught_up or now - self.acked_at.get(n, 0) > late]
+        """The peers that don't count towards a quorum now, as this leader knows."""
+        max_silence_us = 2 * self.timing.election_timeout_us
+        return [
+            n for n in self.peers if n not in self.caught_up or now - self.acked_at.get(n, 0) > max_silence_us
+        ]
 
     def _known_boot_ids(self) -> tuple[int, ...]:
         return tuple(self.boot_id if n == self.local_number else self.boot_ids.get(n, 0) for n in self.voters)
 
-    def _without_stale(self, voices: set[int]) -> set[int]:
-        """Those of them of whom none of the others knows another process. What a member said before it
-        forgot may come late; whoever answered its successor's recovery tells (Michael, Ports, Sharma,
-        Szekeres: "Recovering Shared Objects Without Stable Storage", 2017)."""
-        known = [self.boot_id_views[n] for n in voices if n in self.boot_id_views]
-        places = {number: place for place, number in enumerate(self.voters)}
-        return {n for n in voices if all(view[places[n]] in (0, self.boot_ids.get(n, 0)) for view in known)}
+    def _without_stale(self, numbers: set[int]) -> set[int]:
+        """Those voters of which no other one knows a newer process.
+
+        A message sent before a voter restarted may arrive late. A voter that answered the recovery of its new
+        process reports that process's boot id (Michael, Ports, Sharma, Szekeres: "Recovering Shared Objects
+        Without Stable Storage", 2017).
+        """
+        views = [self.boot_id_views[n] for n in numbers if n in self.boot_id_views]
+        position_of = {number: position for position, number in enumerate(self.voters)}
+        return {
+            n for n in numbers if all(view[position_of[n]] in (0, self.boot_ids.get(n, 0)) for view in views)
+        }
 
     # --- Recovery.
 
     def _restart_recovery(self, now: int) -> None:
-        """Nothing that was said counts any more; ask again under a new nonce."""
+        """Starts recovery anew with a new nonce; earlier replies don't count."""
         if self.role is not Role.RECOVERING:
             self.recovering_since = now
         self.role, self.leader, self.recovery_target = Role.RECOVERING, -1, None
         self.nonce = self.random.getrandbits(NONCE_BITS) | 1
         self.recovery_replies.clear()
 
-    def _on_recovery_request(self, now: int, origin: int, ask: RecoveryRequest) -> None:
-        self.peer_status[origin] = PeerStatus(
-            now, ask.leaderless_ms * 1000, ask.position, ask.promised_epoch, True
+    def _on_recovery_request(self, now: int, sender: int, request: RecoveryRequest) -> None:
+        self.peer_status[sender] = PeerStatus(
+            now, request.leaderless_ms * 1000, request.position, request.promised_epoch, True
         )
         if self.role is Role.RECOVERING:
             return
-        lonely = 0 if self.role is Role.LEADER else now - self.leader_seen_at
-        given = ask.nonce, self.epoch, self.term, self.role is Role.LEADER, self.log.last_index
-        self._send(origin, RecoveryReply(*given, min(lonely // 1000, 0xFFFFFFFF)))
-
-    def _on_recovery_reply(self, now: int, origin: int, tell: RecoveryReply) -> None:
-        position = (tell.epoch, tell.term, tell.last_index)
-        self.peer_status[origin] = PeerStatus(now, tell.leaderless_ms * 1000, position, 0, False)
-        if self.role is not Role.RECOVERING or tell.nonce != self.nonce or self.recovery_target is not None:
+        leaderless_us = 0 if self.role is Role.LEADER else now - self.leader_seen_at
+        fields = request.nonce, self.epoch, self.term, self.role is Role.LEADER, self.log.last_index
+        self._send(sender, RecoveryReply(*fields, min(leaderless_us // 1000, MAX_U32)))
+
+    def _on_recovery_reply(self, now: int, sender: int, reply: RecoveryReply) -> None:
+        position = (reply.epoch, reply.term, reply.last_index)
+        self.peer_status[sender] = PeerStatus(now, reply.leaderless_ms * 1000, position, 0, False)
+        if self.role is not Role.RECOVERING or reply.nonce != self.nonce or self.recovery_target is not None:
             return
-        self.recovery_replies[origin] = tell
+        self.recovery_replies[sender] = reply
         if len(self.recovery_replies) < self.quorum:
             return
-        latest = max((t.epoch, t.term) for t in self.recovery_replies.values())
+        latest = max((other.epoch, other.term) for other in self.recovery_replies.values())
         leaders = [
             number
-            for number, t in self.recovery_replies.items()
-            if t.is_leader and (t.epoch, t.term) == latest
+            for number, other in self.recovery_replies.items()
+            if other.is_leader and (other.epoch, other.term) == latest
         ]
         if not leaders:
-            return  # a later term has no leader yet, or it has not answered: asked again
+            return  # the latest term has no leader yet, or it has not answered: the requests are repeated
         leader = leaders[0]
         self.recovery_target = (*latest, self.recovery_replies[leader].last_index)
         self.term, self.leader, self.voted_for = latest[1], leader, None
@@ -284,21 +309,27 @@
         return 0 if self.role is Role.LEADER else now - self.leader_seen_at
 
     def _propose_epoch(self, now: int) -> None:
-        """The lowest in number asks, once it has heard of late that all have been without a leader for long
-        and too few of them remember for a majority to vouch for anything."""
+        """Proposes a new epoch if this is the voter with the lowest number and no quorum can form otherwise.
+
+        All voters must have reported lately that they have been without a leader for the quarantine, and
+        fewer than a quorum must have kept their state.
+        """
         if self._leaderless_us(now) < self.timing.quarantine_us or any(
             n < self.local_number for n in self.peers
         ):
             return
-        fresh = [self.peer_status.get(n) for n in self.peers]
-        if any(h is None or now - h.received_at > 2 * self.timing.election_timeout_us for h in fresh):
+        statuses = [self.peer_status.get(n) for n in self.peers]
+        if any(
+            status is None or now - status.received_at > 2 * self.timing.election_timeout_us
+            for status in statuses
+        ):
             return
-        if any(h.leaderless_us < self.timing.quarantine_us for h in fresh if h is not None):
+        if any(status.leaderless_us < self.timing.quarantine_us for status in statuses if status is not None):
             return
-        if sum(not h.is_recovering for h in fresh if h is not None) >= self.quorum:
-            return  # these can go on by themselves
-        known = [max(h.position[0], h.promised_epoch) for h in fresh if h is not None]
-        highest = max([self.epoch, *known])
+        if sum(not status.is_recovering for status in statuses if status is not None) >= self.quorum:
+            return  # they can elect a leader
+        epochs = [max(status.position[0], status.promised_epoch) for status in statuses if status is not None]
+        highest = max([self.epoch, *epochs])
         if self.role is not Role.RECOVERING:
             self._restart_recovery(self.leader_seen_at)
         if self.promised_epoch <= self.epoch or self.promised_epoch < highest:
@@ -310,7 +341,7 @@
         for number in self.peers:
             self._send(number, EpochProposal(self.promised_epoch, self.boot_ids[number]))
 
-    def _on_epoch_proposal(self, now: int, origin: int, epoch: int) -> None:
+    def _on_epoch_proposal(self, now: int, sender: int, epoch: int) -> None:
         if (
             epoch <= max(self.epoch, self.promised_epoch - 1)
             or self._leaderless_us(now) < self.timing.quarantine_us
@@ -319,23 +350,26 @@
         if self.role is not Role.RECOVERING:
             self._restart_recovery(now - self._leaderless_us(now))
         self.promised_epoch, self.recovery_target = epoch, None
-        self._send(origin, EpochReply(epoch, self.position))
+        self._send(sender, EpochReply(epoch, self.position))
 
     def _choose_epoch_leader(self, now: int) -> None:
         if set(self.epoch_replies) != set(self.peers):
             return
         best, position = self.local_number, self.position
-        for number, theirs in self.epoch_replies.items():
-            if theirs > position:
-                best, position = number, theirs
+        for number, peer_position in self.epoch_replies.items():
+            if peer_position > position:
+                best, position = number, peer_position
         if best == self.local_number:
             self._begin_epoch(now, self.promised_epoch)
         else:
             self._send(best, LeadEpoch(self.promised_epoch))
 
     def _begin_epoch(self, now: int, epoch: int) -> None:
-        """All have promised: nothing can be decided in an earlier epoch any more, and whoever holds most
-        holds all that ever was, as far as anybody remembers it."""
+        """Starts the epoch as its leader.
+
+        All voters have accepted it, so nothing can be committed in an earlier epoch any more, and the voter
+        with the latest position has everything that any of them still knows.
+        """
         if self.known_position() > (self.epoch, self.log.last_term, self.log.last_index):
             commit = self.known_position()[2]
         else:
@@ -355,51 +389,56 @@
         )
 
     def campaign(self, now: int, is_prevote: bool) -> None:
-        """Ask for votes; first whether it would get them, so that one who was away disturbs nobody."""
-        self.ballot, self.is_prevote, self.votes = (
-            self.random.getrandbits(NONCE_BITS),
-            is_prevote,
-            {self.local_number},
-        )
+        """Asks for votes.
+
+        The prevote (Raft dissertation, section 9.6) comes first and asks whether the candidate would win, so
+        that a voter that was cut off doesn't disrupt the leader when it returns.
+        """
+        self.ballot = self.random.getrandbits(NONCE_BITS)
+        self.is_prevote = is_prevote
+        self.votes = {self.local_number}
         self._reset_election_timer(now)
         if not is_prevote:
             self.role, self.term, self.leader = Role.CANDIDATE, self.term + 1, -1
             self.voted_for = (self.local_number, self.ballot)
         term = self.term + 1 if is_prevote else self.term
         for number in self.peers:
-            held = self.log.last_term, self.log.last_index
-            self._send(number, VoteRequest(self.epoch, term, self.ballot, *held, is_prevote))
+            last_entry = self.log.last_term, self.log.last_index
+            self._send(number, VoteRequest(self.epoch, term, self.ballot, *last_entry, is_prevote))
         self._count_votes(now)
 
-    def _on_vote_request(self, now: int, origin: int, ask: VoteRequest) -> None:
-        if self.role is Role.RECOVERING or ask.epoch != self.epoch:
+    def _on_vote_request(self, now: int, sender: int, request: VoteRequest) -> None:
+        if self.role is Role.RECOVERING or request.epoch != self.epoch:
             return
-        good = (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last_index)
-        led = self.role is Role.LEADER or (
+        is_up_to_date = (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
+        has_leader = self.role is Role.LEADER or (
             self.leader >= 0 and now - self.leader_seen_at < self.timing.election_timeout_us
         )
-        if ask.is_prevote:
-            yes = good and not led and ask.term > self.term
+        if request.is_prevote:
+            granted = is_up_to_date and not has_leader and request.term > self.term
         else:
-            if ask.term > self.term and not led:
-                self._become_follower(now, ask.term, -1)
-            free = self.voted_for in (None, (origin, ask.ballot)) and self.role is Role.FOLLOWER
-            yes = good and free and ask.term == self.term
-            if yes:
-                self.voted_for = (origin, ask.ballot)
+            if request.term > self.term and not has_leader:
+                self._become_follower(now, request.term, -1)
+            can_vote = self.voted_for in (None, (sender, request.ballot)) and self.role is Role.FOLLOWER
+            granted = is_up_to_date and can_vote and request.term == self.term
+            if granted:
+                self.voted_for = (sender, request.ballot)
                 self._reset_election_timer(now)
         self._send(
-            origin, VoteReply(self.epoch, self.term, ask.ballot, ask.is_prevote, yes, self._known_boot_ids())
+            sender,
+            VoteReply(
+                self.epoch, self.term, request.ballot, request.is_prevote, granted, self._known_boot_ids()
+            ),
         )
 
-    def _on_vote_reply(self, now: int, origin: int, tell: VoteReply) -> None:
-        if tell.epoch != self.epoch or self.role in (Role.RECOVERING, Role.LEADER):
+    def _on_vote_reply(self, now: int, sender: int, reply: VoteReply) -> None:
+        if reply.epoch != self.epoch or self.role in (Role.RECOVERING, Role.LEADER):
             return
-        if tell.term > self.term:
-            self._become_follower(now, tell.term, -1)
-        elif tell.granted and tell.ballot == self.ballot and tell.is_prevote is self.is_prevote:
-            self.boot_id_views[origin] = tell.boot_ids
-            self.votes.add(origin)
+        if reply.term > self.term:
+            self._become_follower(now, reply.term, -1)
+        elif reply.granted and reply.ballot == self.ballot and reply.is_prevote is self.is_prevote:
+            self.boot_id_views[sender] = reply.boot_ids
+            self.votes.add(sender)
             self._count_votes(now)
 
     def _count_votes(self, now: int) -> None:
@@ -426,16 +465,18 @@
         self.propose(now, Noop())
 
     def resign(self, now: int) -> None:
-        """This process ends: it leads no more and asks for no votes, but answers while it can."""
+        """Steps down for shutdown: this voter campaigns no more, but still answers."""
         self.has_resigned = True
         if self.role in (Role.LEADER, Role.CANDIDATE):
             self._become_follower(now, self.term, -1)
 
-    # --- Entries.
+    # --- Log replication.
 
     def propose(self, now: int, command: AnyCommand) -> int | None:
-        """As the leader: the index under which the command will be decided, should this term last; else
-        None."""
+        """Appends a command and returns the index at which it is committed if this term lasts.
+
+        Returns None if this voter is not the leader.
+        """
         if self.role is not Role.LEADER:
             return None
         index = self.log.last_index + 1
@@ -446,7 +487,7 @@
 
     @property
     def uncommitted(self) -> list[AnyCommand]:
-        """Commands proposed and not yet decided: a leader counts them as done already."""
+        """The commands that were proposed but are not committed yet. The leader treats them as done."""
         return [entry.command for entry in self.log.uncommitted]
 
     def _send_heartbeats(self, now: int) -> None:
@@ -456,13 +497,15 @@
 
     def _send_entries(self, number: int) -> None:
         log = self.log
-        before = max(self.next_index.get(number, log.last_index + 1) - 1, log.snapshot_position[2])
-        stamp = (self.now // 1000) & 0xFFFFFFFF
-        given = self.epoch, self.term, log.term_at(before) or 0, before, log.commit_index, stamp
-        entries = log.entries_after(before, datagram_size(AppendEntries(*given, ())) + 4)
-        self._send(number, AppendEntries(*given, entries))
+        prev_index = max(self.next_index.get(number, log.last_index + 1) - 1, log.snapshot_position[2])
+        sent_ms = (self.now // 1000) & MAX_U32
+        fields = self.epoch, self.term, log.term_at(prev_index) or 0, prev_index, log.commit_index, sent_ms
+        entries = log.entries_after(
+            prev_index, datagram_size(AppendEntries(*fields, ())) + ARRAY_HEADER_BYTES
+        )
+        self._send(number, AppendEntries(*fields, entries))
 
-    def _on_append(self, now: int, origin: int, append: AppendEntries) -> None:
+    def _on_append(self, now: int, sender: int, append: AppendEntries) -> None:
         recovering = self.role is Role.RECOVERING
         if (
             recovering
@@ -470,8 +513,8 @@
             and self.promised_epoch
             and append.epoch == self.promised_epoch
         ):
-            # The epoch to which all agreed has begun. What we hold is kept until we hold all of its.
-            self.recovery_target = (append.epoch, append.term, append.last_index)
+            # The accepted epoch has started. The local log is kept until that of the new epoch is complete.
+            self.recovery_target = (append.epoch, append.term, append.prev_index)
             self.term, self.voted_for = append.term, None
         if recovering:
             if (
@@ -483,88 +526,98 @@
                     self.recovery_target is not None
                     and (append.epoch, append.term) > self.recovery_target[:2]
                 ):
-                    self._restart_recovery(now)  # another leads by now: its word is needed
+                    self._restart_recovery(now)  # there is a newer leader, which has to answer
                 return
-            if self.epoch != append.epoch:  # only a whole state brings us there
-                self.leader, self.leader_seen_at = origin, now
+            if self.epoch != append.epoch:  # only a snapshot can bring this voter there
+                self.leader, self.leader_seen_at = sender, now
                 self._reset_election_timer(now)
                 self._send(
-                    origin,
+                    sender,
                     AppendReply(
                         append.epoch, append.term, False, 0, append.sent_ms, True, self._known_boot_ids()
                     ),
                 )
                 return
         elif append.epoch > self.epoch:
-            self._restart_recovery(now)  # decided without us: learn of it from a majority
+            self._restart_recovery(now)  # the new epoch began without this voter: recover from a quorum
             return
         elif append.epoch < self.epoch or append.term < self.term:
-            given = self.epoch, self.term, False, self.log.last_index, append.sent_ms, False
-            self._send(origin, AppendReply(*given, self._known_boot_ids()))
+            fields = self.epoch, self.term, False, self.log.last_index, append.sent_ms, False
+            self._send(sender, AppendReply(*fields, self._known_boot_ids()))
             return
-        elif append.term > self.term or self.role is not Role.FOLLOWER or self.leader != origin:
-            self._become_follower(now, append.term, origin)
-        self.leader, self.leader_seen_at = origin, now
+        elif append.term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
+            self._become_follower(now, append.term, sender)
+        self.leader, self.leader_seen_at = sender, now
         self._reset_election_timer(now)
-        good, last = self._merge_entries(append)
+        success, last_index = self._merge_entries(append)
         self._finish_recovery()
-        learns = self.role is Role.RECOVERING
+        is_recovering = self.role is Role.RECOVERING
         self._send(
-            origin,
-            AppendReply(self.epoch, self.term, good, last, append.sent_ms, learns, self._known_boot_ids()),
+            sender,
+            AppendReply(
+                self.epoch,
+                self.term,
+                success,
+                last_index,
+                append.sent_ms,
+                is_recovering,
+                self._known_boot_ids(),
+            ),
         )
 
     def _merge_entries(self, append: AppendEntries) -> tuple[bool, int]:
-        """Whether the entries follow on what is held, and up to where both agree."""
-        held = self.log.merge(append.last_index, append.last_term, append.entries)
-        if held is None:
-            if append.last_index == self.rejected_index and append.last_index > self.log.last_index:
-                self.snapshot_peer = self.leader  # it can't go further back: only its whole state helps
-            self.rejected_index = append.last_index
-            return False, max(self.log.commit_index, min(self.log.last_index, append.last_index - 1))
+        """Returns whether the entries fit the local log, and the last index that matches the leader's."""
+        matched = self.log.merge(append.prev_index, append.prev_term, append.entries)
+        if matched is None:
+            if append.prev_index == self.rejected_index and append.prev_index > self.log.last_index:
+                self.snapshot_peer = self.leader  # it retains no earlier entries: only its snapshot helps
+            self.rejected_index = append.prev_index
+            return False, max(self.log.commit_index, min(self.log.last_index, append.prev_index - 1))
         self.snapshot_peer, self.rejected_index = None, -1
-        self.log.commit_until(min(append.commit_index, held), self.on_commit)
-        return True, held
+        self.log.commit_until(min(append.commit_index, matched), self.on_commit)
+        return True, matched
 
-    def _on_append_reply(self, now: int, origin: int, tell: AppendReply) -> None:
-        if tell.epoch != self.epoch:
+    def _on_append_reply(self, now: int, sender: int, reply: AppendReply) -> None:
+        if reply.epoch != self.epoch:
             return
-        if tell.term > self.term and self.role is not Role.RECOVERING:
-            self._become_follower(now, tell.term, -1)
-        if self.role is not Role.LEADER or tell.term != self.term:
+        if reply.term > self.term and self.role is not Role.RECOVERING:
+            self._become_follower(now, reply.term, -1)
+        if self.role is not Role.LEADER or reply.term != self.term:
             return
-        self.acked_at[origin], self.boot_id_views[origin] = now, tell.boot_ids
-        passed = ((now // 1000) - tell.sent_ms) & 0xFFFFFFFF
-        if not tell.is_recovering and passed < 60_000:
-            self.confirmed_at[origin] = max(self.confirmed_at.get(origin, 0), now - (passed + 1) * 1000)
-        if not tell.success:
-            self.next_index[origin] = max(
-                self.log.snapshot_position[2] + 1, min(self.next_index[origin] - 1, tell.last_index + 1)
+        self.acked_at[sender], self.boot_id_views[sender] = now, reply.boot_ids
+        elapsed_ms = ((now // 1000) - reply.sent_ms) & MAX_U32
+        if not reply.is_recovering and elapsed_ms < MAX_REPLY_AGE_MS:
+            self.confirmed_at[sender] = max(self.confirmed_at.get(sender, 0), now - (elapsed_ms + 1) * 1000)
+        if not reply.success:
+            self.next_index[sender] = max(
+                self.log.snapshot_position[2] + 1, min(self.next_index[sender] - 1, reply.last_index + 1)
             )
             return
-        self.next_index[origin] = max(self.next_index[origin], tell.last_index + 1)
-        if not tell.is_recovering:
-            self.caught_up.add(origin)
-            self.match_index[origin] = max(self.match_index[origin], tell.last_index)
+        self.next_index[sender] = max(self.next_index[sender], reply.last_index + 1)
+        if not reply.is_recovering:
+            self.caught_up.add(sender)
+            self.match_index[sender] = max(self.match_index[sender], reply.last_index)
             self._advance_commit_index()
-        if self.next_index[origin] <= self.log.last_index:
-            self._send_entries(origin)
+        if self.next_index[sender] <= self.log.last_index:
+            self._send_entries(sender)
 
     def _advance_commit_index(self) -> None:
-        sound = self._without_stale(
+        current = self._without_stale(
             {n for n in self.peers if self.match_index.get(n, 0) > self.log.commit_index}
         )
-        held = sorted(
-            [self.log.last_index, *(self.match_index[n] if n in sound else 0 for n in self.peers)],
+        match_indexes = sorted(
+            [self.log.last_index, *(self.match_index[n] if n in current else 0 for n in self.peers)],
             reverse=True,
         )
-        index = held[self.quorum - 1]
-        if index > self.log.commit_index and self.log.term_at(index) == self.term:  # earlier terms come along
+        index = match_indexes[self.quorum - 1]
+        # As in Raft, entries of earlier terms are committed only together with one of the current term.
+        if index > self.log.commit_index and self.log.term_at(index) == self.term:
             self.log.commit_until(index, self.on_commit)
 
-    # --- Time.
+    # --- Timers.
 
     def tick(self, now: int) -> None:
+        """Runs the timers: recovery requests, heartbeats, elections."""
         self.now = now
         if self.role is Role.RECOVERING:
             if now < self.heartbeat_due_at:
@@ -574,14 +627,16 @@
                 self.recovery_target is not None
                 and now - self.leader_seen_at > self.timing.election_timeout_us
             ):
-                self._restart_recovery(now)  # the leader that vouched is gone: ask again
-            waited = min((now - self.recovering_since) // 1000, 0xFFFFFFFF)
+                self._restart_recovery(now)  # the leader that answered is silent
+            leaderless_ms = min((now - self.recovering_since) // 1000, MAX_U32)
             for number in self.peers:
-                self._send(number, RecoveryRequest(self.nonce, waited, self.position, self.promised_epoch))
+                self._send(
+                    number, RecoveryRequest(self.nonce, leaderless_ms, self.position, self.promised_epoch)
+                )
             self._propose_epoch(now)
         elif self.role is Role.LEADER:
-            alive = sum(now - at < 2 * self.timing.election_timeout_us for at in self.acked_at.values())
-            if alive + 1 < self.quorum:  # cut off: others may have a leader by now
+            responsive = sum(now - at < 2 * self.timing.election_timeout_us for at in self.acked_at.values())
+            if responsive + 1 < self.quorum:  # cut off: the others may have a leader by now
                 self._become_follower(now, self.term, -1)
                 self.leader_seen_at = now
             elif now >= self.heartbeat_due_at:
@@ -589,11 +644,18 @@
         elif now >= self.election_due_at and not self.has_resigned:
             self.leader = -1
             self.campaign(now, is_prevote=True)
-            lonely = self._leaderless_us(now)
-            if lonely >= self.timing.quarantine_us:  # told unasked: who decides to begin anew has to know
-                given = 0, self.epoch, self.term, False, self.log.last_index, min(lonely // 1000, 0xFFFFFFFF)
+            leaderless_us = self._leaderless_us(now)
+            if leaderless_us >= self.timing.quarantine_us:  # the voter that may propose an epoch has to know
+                fields = (
+                    0,
+                    self.epoch,
+                    self.term,
+                    False,
+                    self.log.last_index,
+                    min(leaderless_us // 1000, MAX_U32),
+                )
                 for number in self.peers:
-                    self._send(number, RecoveryReply(*given))
+                    self._send(number, RecoveryReply(*fields))
                 self._propose_epoch(now)
 
     def _send(self, target: int, message: Message) -> None:
--- a/whintrail/fleet/drain_overlay.py
+++ b/whintrail/fleet/drain_overlay.py
@@ -1,5 +1,7 @@
-"""The list of engines as the decision module gets it: the bulletin's, and the fleet's drains, the stricter of
-both. Pure; it passes the bulletin's events on as they are while nothing is drained.
+"""Applies the fleet's drains to the bulletin's list of engines, for the routing policy.
+
+An engine is shown in the stricter of the two states. Without drains the bulletin's events pass unchanged.
+Pure.
 """
 
 from collections.abc import Set
@@ -9,8 +11,10 @@
 
 
 class DrainOverlay:
+    """The bulletin's entries and the engines that the fleet has drained."""
+
     def __init__(self) -> None:
-        self.entries: dict[str, EngineEntry] = {}  # as the bulletin told last
+        self.entries: dict[str, EngineEntry] = {}  # as last received from the bulletin
         self.drained: frozenset[str] = frozenset()
 
     def _with_drain(self, entry: EngineEntry) -> EngineEntry:
@@ -19,7 +23,7 @@
         return entry
 
     def apply_list(self, event: EngineListReceived) -> EngineListReceived:
-        """An event of the bulletin, as the module is to see it."""
+        """Applies the drains to an event of the bulletin."""
         if event.kind is ListKind.FAILED:
             return event
         if event.kind is not ListKind.DELTA:
@@ -34,7 +38,7 @@
         return replace(event, entries=tuple(self._with_drain(entry) for entry in event.entries))
 
     def set_drained(self, engines: Set[str]) -> EngineListReceived | None:
-        """Other engines are drained from now on: what the module has to hear, if anything."""
+        """Sets the drained engines; returns the list event that results, if any entry changes."""
         changed = self.drained ^ engines
         self.drained = frozenset(engines)
         entries = [self._with_drain(entry) for name, entry in self.entries.items() if name in changed]
--- a/whintrail/fleet/leader_client.py
+++ b/whintrail/fleet/leader_client.py
@@ -1,9 +1,9 @@
-"""A member's own part: what it asks the leader, and the slot that it holds. Sans-I/O.
+"""A gateway's requests to the leader, and the restart slot that it holds. Without I/O.
 
-A slot is used within `use_us` of the *sending* of the request that got it, by this process's own monotonic
-clock: a halt decided later than that finds no slot unused, whatever was late or stood still in between. An
-answer *later* ends a request for good; the next one has another id. A slot that was not used in time is given
-back by its holder, and by nobody's clock.
+A slot may be used only within `slot_use_us` of the *sending* of the request that obtained it, by this
+process's monotonic clock. A halt committed later than that finds no unused slot, whatever was delayed or
+paused meanwhile. The answer RETRY_LATER ends a request; a retry has another id. A slot that was not used in
+time is returned by its holder, never freed by anyone's timeout.
 """
 
 from dataclasses import dataclass
@@ -20,17 +20,19 @@
     SlotReturn,
 )
 
-RESEND_INTERVAL_US, RETRY_DELAY_US = 250_000, 400_000
+RESEND_INTERVAL_US = 250_000  # of a request without an answer
+RETRY_DELAY_US = 400_000  # after RETRY_LATER
+REQUEST_ID_BITS = 31
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """Something that a person or a supervisor asked for here, until it is answered or its time is up."""
+    """A change requested by an operator or a supervisor, until it is answered or its deadline passes."""
 
     key: int
     change: Change
     deadline: int
-    retries: bool  # ask anew after *later*
+    retries: bool  # after RETRY_LATER
     id: int = 0
     first_sent_at: int = 0
     sent_at: int = -RESEND_INTERVAL_US
@@ -40,6 +42,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
+    """The final answer to a request."""
+
     key: int
     status: int
     fence: int
@@ -48,100 +52,110 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldSlot:
+    """A granted slot, and until when it may be used."""
+
     fence: int
-    usable_until: int  # to be used by then
+    usable_until: int
 
 
 class LeaderClient:
+    """Sends requests to the leader until they are answered, and keeps track of the granted slot."""
+
     def __init__(self, local_number: int, boot_id: int, random: Random, slot_use_us: int) -> None:
-        self.local_number, self.boot_id, self.random, self.slot_use_us = (
-            local_number,
-            boot_id,
-            random,
-            slot_use_us,
-        )
+        self.local_number = local_number
+        self.boot_id = boot_id
+        self.random = random
+        self.slot_use_us = slot_use_us
         self.requests: dict[int, PendingRequest] = {}
         self.last_key = 0
         self.held_slot: HeldSlot | None = None
         self.is_leaving = False
         self.return_due_at = 0
         self.outcomes: list[RequestOutcome] = []
-        self.expired_slots = 0  # slots that were not used in time
+        self.expired_slots = 0  # not used in time
 
     def submit(self, now: int, change: Change, deadline: int, retries: bool) -> int:
+        """Adds a request and returns the key of its outcome."""
         self.last_key += 1
         self.requests[self.last_key] = PendingRequest(self.last_key, change, deadline, retries)
         return self.last_key
 
     def cancel(self, key: int) -> None:
+        """Forgets a request; it has no outcome."""
         self.requests.pop(key, None)
 
-    # --- Asking.
-
-    def due_requests(self, now: int, state: FleetState, leads: bool) -> list[ChangeRequest]:
-        """What goes to the leader now; empty where none is known."""
-        asks = []
-        for wish in list(self.requests.values()):
-            if now >= wish.deadline:
-                del self.requests[wish.key]
-                self.outcomes.append(RequestOutcome(wish.key, RETRY_LATER, 0, wish.last_answer))
-            elif leads and now >= wish.retry_at and now - wish.sent_at >= RESEND_INTERVAL_US:
-                if not wish.id:
-                    wish.id, wish.first_sent_at = self.random.getrandbits(31) | 1, now
-                wish.sent_at = now
-                asks.append(ChangeRequest(wish.id, wish.change))
-        if leads and now >= self.return_due_at and (back := self._unused_slot_return(now, state)) is not None:
+    # --- Requests.
+
+    def due_requests(self, now: int, state: FleetState, leader_known: bool) -> list[ChangeRequest]:
+        """Returns the requests to send to the leader now; none without a known leader."""
+        due = []
+        for request in list(self.requests.values()):
+            if now >= request.deadline:
+                del self.requests[request.key]
+                self.outcomes.append(RequestOutcome(request.key, RETRY_LATER, 0, request.last_answer))
+            elif leader_known and now >= request.retry_at and now - request.sent_at >= RESEND_INTERVAL_US:
+                if not request.id:
+                    request.id, request.first_sent_at = self.random.getrandbits(REQUEST_ID_BITS) | 1, now
+                request.sent_at = now
+                due.append(ChangeRequest(request.id, request.change))
+        if (
+            leader_known
+            and now >= self.return_due_at
+            and (slot_return := self._unused_slot_return(now, state)) is not None
+        ):
             self.return_due_at = now + RESEND_INTERVAL_US
-            asks.append(ChangeRequest(self.random.getrandbits(31) | 1, back))
-        return asks
+            due.append(ChangeRequest(self.random.getrandbits(REQUEST_ID_BITS) | 1, slot_return))
+        return due
 
     def _unused_slot_return(self, now: int, state: FleetState) -> SlotReturn | None:
-        """A slot that this process got and will not use."""
+        """The request that returns a slot which this process was granted but will not use."""
         if self.held_slot is not None and now >= self.held_slot.usable_until and not self.is_leaving:
             self.held_slot, self.expired_slots = None, self.expired_slots + 1
         slot = state.slots.get(self.local_number)
         if slot is None or slot.boot_id != self.boot_id or self.is_leaving:
             return None
-        asked = any(
-            isinstance(w.change, SlotRequest) and w.id == slot.request_id for w in self.requests.values()
+        is_requested = any(
+            isinstance(request.change, SlotRequest) and request.id == slot.request_id
+            for request in self.requests.values()
         )
-        kept = self.held_slot is not None and self.held_slot.fence == slot.fence
-        return None if asked or kept else SlotReturn(self.local_number, slot.fence, False)
+        is_held = self.held_slot is not None and self.held_slot.fence == slot.fence
+        return None if is_requested or is_held else SlotReturn(self.local_number, slot.fence, False)
 
-    def receive_reply(self, now: int, answer: ChangeReply, state: FleetState) -> None:
-        wish = next((w for w in self.requests.values() if w.id == answer.id), None)
-        if wish is None:
+    def receive_reply(self, now: int, reply: ChangeReply, state: FleetState) -> None:
+        """Handles the leader's reply to a request."""
+        request = next((pending for pending in self.requests.values() if pending.id == reply.id), None)
+        if request is None:
             return
-        if answer.status == RETRY_LATER:
-            wish.last_answer, wish.id = answer.text, 0
-            wish.retry_at = now + RETRY_DELAY_US
-            if wish.retries:
+        if reply.status == RETRY_LATER:
+            request.last_answer, request.id = reply.text, 0
+            request.retry_at = now + RETRY_DELAY_US
+            if request.retries:
                 return
-        elif answer.status == DONE and isinstance(wish.change, SlotRequest):
-            until = wish.first_sent_at + self.slot_use_us
-            if now >= until:  # too late to be used: it is given back, and asked for anew
-                wish.id, wish.retry_at = 0, now + RETRY_DELAY_US
+        elif reply.status == DONE and isinstance(request.change, SlotRequest):
+            usable_until = request.first_sent_at + self.slot_use_us
+            if now >= usable_until:  # too late to use the slot: it is returned and requested again
+                request.id, request.retry_at = 0, now + RETRY_DELAY_US
                 return
-            self.held_slot = HeldSlot(answer.fence, until)
-        del self.requests[wish.key]
-        self.outcomes.append(RequestOutcome(wish.key, answer.status, answer.fence, answer.text))
+            self.held_slot = HeldSlot(reply.fence, usable_until)
+        del self.requests[request.key]
+        self.outcomes.append(RequestOutcome(request.key, reply.status, reply.fence, reply.text))
 
-    # --- Going out.
+    # --- Use of the slot.
 
     def usable_fence(self, now: int, state: FleetState) -> int:
-        """The fence of a slot that may be used at this moment; 0: none."""
+        """The fence of a slot that may be used at this moment, or 0."""
         held = self.held_slot
         if held is None or now >= held.usable_until:
             return 0
-        slot, under = state.slots.get(self.local_number), state.release
+        slot, release = state.slots.get(self.local_number), state.release
         if slot is not None and slot.fence > held.fence:
             return 0
-        if slot is not None and slot.release and under is not None and under.status == HALTED:
-            return 0  # learnt in time; else the time in which it may be used bounds it
+        if slot is not None and slot.release and release is not None and release.status == HALTED:
+            return 0  # a halt that arrives too late is bounded by `usable_until`
         return held.fence
 
     def leave(self, now: int, state: FleetState) -> int:
-        """This process ends: by the slot whose fence it is, or by none (0)."""
+        """Starts shutdown; returns the fence of the slot that this uses, or 0 without one."""
         fence = self.usable_fence(now, state)
         self.is_leaving = True
         return fence
--- a/whintrail/fleet/membership.py
+++ b/whintrail/fleet/membership.py
@@ -1,13 +1,15 @@
-"""Who is there: SWIM with Lifeguard's suspicion, sans-I/O.
-
-Each period a member asks one other whether it lives, in turn through all of them, in an order of its own.
-Without an answer it has others ask; without theirs it suspects, and tells so with what it sends anyway. A
-suspect has time to refute. Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More
-Accurate Failure Detection", 2017) makes one who is itself slow distrust itself: its waits grow with its own
-failures, and a suspicion's time starts long and shrinks as others confirm it.
-
-The list of members is given: there is nothing to join. A process is known by its birth, drawn at random at
-its start, and its incarnation, which only it raises. Times are monotonic, in microseconds.
+"""Fleet membership and failure detection: SWIM with the Lifeguard extensions, without I/O.
+
+In each period a member pings one other, going through all of them in a random order. Without an ack it asks
+others for indirect probes; without an ack from those it suspects the target. Updates are disseminated by
+gossip on pings and acks. A suspect has time to refute the suspicion with a higher incarnation. With Lifeguard
+(Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017) a
+slow member distrusts its own observations: its timeouts grow with its local health multiplier, and a
+suspicion's timeout starts long and shrinks as other members confirm it.
+
+The set of members is fixed by the configuration, so nothing joins. A process is identified by its boot id,
+drawn at random when it starts, and its incarnation, which only the process itself raises. Times are monotonic
+microseconds.
 """
 
 import math
@@ -21,11 +23,13 @@
 from whintrail.fleet.wire import Ack, IndirectPing, Leave, MemberUpdate, Message, Nack, Ping, Progress
 
 MAX_INCARNATION = 0xFFFFFFFF
-MAX_UPDATES = 8
+MAX_UPDATES = 8  # in one ping or ack
+MAX_SEQ = 0x7FFFFFFF
+LEAVE_FANOUT = 6  # members that are told directly when the local one leaves
 
 
 class MemberState(IntEnum):
-    """Of one incarnation, what comes later overrides."""
+    """The state of a member. Within one incarnation a greater state overrides a smaller one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -33,107 +37,113 @@
     GONE = 3
 
 
-MEMBER_STATES = tuple(MemberState)  # by what travels
+MEMBER_STATES = tuple(MemberState)  # by the number in a message
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipTiming:
-    """How fast and how patient. Microseconds and counts."""
+    """Intervals in microseconds, counts and factors of the protocol."""
 
     probe_period_us: int = 1_000_000
     ack_timeout_us: int = 300_000
     indirect_probes: int = 4
-    suspicion_factor: float = 2.0  # times log10 of the members, in periods: the least time of a suspicion
-    max_suspicion_factor: float = 3.0  # times that, before others confirm
+    suspicion_factor: float = 2.0  # shortest suspicion timeout: this many periods times log10 of the members
+    max_suspicion_factor: float = 3.0  # longest suspicion timeout, as a multiple of the shortest
     confirmations: int = 3
-    direct_pings: int = 6  # how often a suspect is asked directly before it is taken for gone
-    direct_ping_interval_us: int = 400_000  # so far apart
-    retransmit_factor: float = 5.0  # times log10 of the members: how often an update is told
-    max_health_multiplier: int = 8  # of our own slowness, as Lifeguard counts it
+    direct_pings: int = 6  # to a suspect, before it is removed
+    direct_ping_interval_us: int = 400_000
+    retransmit_factor: float = 5.0  # an update is sent this many times log10 of the members
+    max_health_multiplier: int = 8
     lifeguard: bool = True
-    pause_threshold_us: int = 700_000  # a turn so late shows that we did not run
-    reconnect_interval_us: int = 3_000_000  # how often one of the lost is looked for
+    pause_threshold_us: int = 700_000  # a tick this late shows that the process did not run
+    reconnect_interval_us: int = 3_000_000  # between pings of removed members
 
 
 @dataclass(slots=True)
 class Member:
+    """What the local member knows of a member."""
+
     number: int
-    state: MemberState = MemberState.GONE  # until it is heard of
+    state: MemberState = MemberState.GONE  # until it is heard from
     incarnation: int = 0
-    boot_id: int = 0  # 0: never heard of
+    boot_id: int = 0  # 0: never heard from
     since: int = 0
     suspect_until: int = 0
     suspected_by: tuple[int, ...] = ()
-    pinged_at: int = 0  # directly, in the last periods of a suspicion
+    pinged_at: int = 0  # by the last direct ping before removal
 
 
 @dataclass(slots=True)
 class Probe:
-    """We asked and wait. `origin` is for whom, where another asked us to."""
+    """A ping that awaits its ack. `requester` is the member that asked for it, if it is an indirect probe."""
 
     target: int
     ack_due_at: int
-    period_ends_at: int  # when the period is over
+    period_ends_at: int
     indirect_sent: bool = False
     nacks: int = 0
     requester: int | None = None
-    requester_seq: int = 0
+    requester_seq: int = 0  # of an own probe: the number of members asked for indirect probes
 
 
 class MembersByState:
-    """Numbers of members by what is held of them, each list in order.
+    """The numbers of the members in each state, sorted.
 
-    Kept in step, so that a turn in which nothing is due costs the same in a fleet of any size."""
+    It is updated with each state change, so that a tick with nothing due costs the same at any fleet size.
+    """
 
-    def __init__(self, count: int, life: MemberState = MemberState.GONE) -> None:
-        """At first all are of one kind."""
+    def __init__(self, count: int, state: MemberState = MemberState.GONE) -> None:
+        """All members start in the same state."""
         self.numbers: dict[MemberState, list[int]] = {each: [] for each in MemberState}
-        self.numbers[life] = list(range(count))
+        self.numbers[state] = list(range(count))
 
-    def move(self, number: int, before: MemberState, life: MemberState) -> None:
-        if life is not before:
+    def move(self, number: int, before: MemberState, state: MemberState) -> None:
+        """Moves a member from the list of one state to that of another."""
+        if state is not before:
             numbers = self.numbers[before]
             del numbers[bisect_left(numbers, number)]
-            insort(self.numbers[life], number)
+            insort(self.numbers[state], number)
 
-    def __getitem__(self, life: MemberState) -> Sequence[int]:
-        return self.numbers[life]
+    def __getitem__(self, state: MemberState) -> Sequence[int]:
+        return self.numbers[state]
 
 
 class ExcludingView(Sequence[int]):
-    """Ordered numbers but for a few, without a copy of them."""
+    """A view of a sorted sequence of numbers that leaves out a few of them."""
 
-    def __init__(self, numbers: Sequence[int], *left_out: int) -> None:
+    def __init__(self, numbers: Sequence[int], *excluded: int) -> None:
         self.numbers = numbers
         self.excluded = [
-            place
-            for number in sorted(set(left_out))
-            if (place := bisect_left(numbers, number)) < len(numbers) and numbers[place] == number
+            index
+            for number in sorted(set(excluded))
+            if (index := bisect_left(numbers, number)) < len(numbers) and numbers[index] == number
         ]
 
     def __len__(self) -> int:
         return len(self.numbers) - len(self.excluded)
 
-    def __getitem__(self, place: int) -> int:  # type: ignore[override]
-        for gap in self.excluded:
-            place += place >= gap
-        return self.numbers[place]
+    def __getitem__(self, index: int) -> int:  # type: ignore[override]
+        for excluded in self.excluded:
+            index += index >= excluded
+        return self.numbers[index]
 
     def __contains__(self, number: object) -> bool:
         if not isinstance(number, int):
             return False
-        place = bisect_left(self.numbers, number)
-        return place < len(self.numbers) and self.numbers[place] == number and place not in self.excluded
+        index = bisect_left(self.numbers, number)
+        return index < len(self.numbers) and self.numbers[index] == number and index not in self.excluded
 
 
 class UpdateQueue:
-    """Members of whom to tell, what was told least first; of equals, who has been news for longer.
+    """Members with an update to disseminate: those sent least often first, then those queued longest.
 
-    A heap whose outdated places are passed over: after a start every member is news, and to order them all
-    for each datagram would cost a fleet the square of its size."""
+    A heap in which outdated entries are skipped. After a start there is an update of every member; sorting
+    all of them for each datagram would take time quadratic in the size of the fleet.
+    """
 
     def __init__(self) -> None:
-        self.queued: dict[int, tuple[int, int]] = {}  # how often, and the order in which it became news
+        # By member: transmissions, and the place in the order of queueing.
+        self.queued: dict[int, tuple[int, int]] = {}
         self.heap: list[tuple[int, int, int]] = []
         self.last_sequence = 0
 
@@ -144,43 +154,43 @@
         return len(self.queued)
 
     def add(self, number: int) -> None:
-        """Something new of a member: it has been told to nobody."""
-        if (held := self.queued.get(number)) is None:
+        """Queues a new update of a member, which nobody has been sent."""
+        if (entry := self.queued.get(number)) is None:
             self.last_sequence += 1
             self._push(number, 0, self.last_sequence)
-        elif held[0]:
-            self._push(number, 0, held[1])
+        elif entry[0]:
+            self._push(number, 0, entry[1])
 
-    def _push(self, number: int, times: int, became: int) -> None:
-        self.queued[number] = (times, became)
-        heappush(self.heap, (times, became, number))
+    def _push(self, number: int, transmits: int, sequence: int) -> None:
+        self.queued[number] = (transmits, sequence)
+        heappush(self.heap, (transmits, sequence, number))
         if len(self.heap) > 4 * len(self.queued) + 64:
-            self.heap = [(*held, number) for number, held in self.queued.items()]
+            self.heap = [(*entry, number) for number, entry in self.queued.items()]
             heapify(self.heap)
 
     def least_sent(self, limit: int) -> list[int]:
-        """Of so many at most; they stay."""
-        found: list[tuple[int, int, int]] = []
-        while self.heap and len(found) < limit:
+        """The members whose updates were sent least often; they stay queued."""
+        entries: list[tuple[int, int, int]] = []
+        while self.heap and len(entries) < limit:
             first = heappop(self.heap)
-            if self.queued.get(first[2]) == first[:2] and first not in found[-1:]:
-                found.append(first)
-        for place in found:
-            heappush(self.heap, place)
-        return [number for _, _, number in found]
+            if self.queued.get(first[2]) == first[:2] and first not in entries[-1:]:
+                entries.append(first)
+        for entry in entries:
+            heappush(self.heap, entry)
+        return [number for _, _, number in entries]
 
     def mark_sent(self, number: int, max_transmits: int) -> None:
-        """Once more; after so many times it is news no more."""
-        if (held := self.queued.get(number)) is None:
+        """Counts a transmission and drops the update after the last one."""
+        if (entry := self.queued.get(number)) is None:
             return
-        if held[0] + 1 >= max_transmits:
+        if entry[0] + 1 >= max_transmits:
             del self.queued[number]
         else:
-            self._push(number, held[0] + 1, held[1])
+            self._push(number, entry[0] + 1, entry[1])
 
 
 class Membership:
-    """Give it what comes and `tick` it; take `out` (target, message)."""
+    """The local member. Pass messages to `receive`, call `tick` often, and send what is in `outbox`."""
 
     def __init__(
         self,
@@ -193,12 +203,10 @@
         timing: MembershipTiming | None = None,
         progress: Callable[[], Progress] | None = None,
     ) -> None:
-        self.local_number, self.boot_id, self.random, self.timing = (
-            local_number,
-            boot_id,
-            random,
-            timing or MembershipTiming(),
-        )
+        self.local_number = local_number
+        self.boot_id = boot_id
+        self.random = random
+        self.timing = timing or MembershipTiming()
         self.progress = progress or (lambda: Progress((0, 0, 0), 0, -1, 0))
         self.members = [Member(number) for number in range(count)]
         self.by_state = MembersByState(count)
@@ -212,16 +220,15 @@
         self.max_transmits = math.ceil(self.timing.retransmit_factor * max(1.0, math.log10(count + 1)))
         self.probes: dict[int, Probe] = {}
         self.seq, self.health_multiplier = random.getrandbits(31), 0
-        self.probe_order = [
-            number for number in range(count) if number != local_number
-        ]  # at first all, known or not
+        # The first round covers all members, heard from or not.
+        self.probe_order = [number for number in range(count) if number != local_number]
         random.shuffle(self.probe_order)
         self.next_probe_at = now + random.randrange(self.timing.probe_period_us)
         self.reconnected_at, self.ticked_at = now, now
         self.refutations = 0
         self.removals = 0
 
-    # --- What others ask of us.
+    # --- Queries.
 
     def is_alive(self, number: int) -> bool:
         return self.members[number].state is MemberState.ALIVE
@@ -230,33 +237,37 @@
         return len(self.by_state[state])
 
     def alive_peers(self) -> Sequence[int]:
-        """Who is alive but for us, in order."""
+        """The numbers of all alive members except the local one, sorted."""
         return ExcludingView(self.by_state[MemberState.ALIVE], self.local_number)
 
     def assume_alive(self, members: Iterable[tuple[int, int]]) -> None:
-        """As if all had long been known: birth and incarnation of each, in the order of their numbers."""
+        """Sets all members alive, with the given boot ids and incarnations, without queueing updates."""
         for member, (boot_id, incarnation) in zip(self.members, members, strict=True):
             member.state, member.boot_id, member.incarnation = MemberState.ALIVE, boot_id, incarnation
         self.by_state = MembersByState(len(self.members), MemberState.ALIVE)
 
-    # --- In.
+    # --- Received messages.
 
     def receive(self, now: int, sender: int, boot_id: int, incarnation: int, message: Message) -> bool:
-        """A datagram of another member, of any kind, is the best sign of its life. False where it comes of
-        a process that has a successor: what it says holds no more."""
+        """Handles a datagram of another member; any kind shows that the member is alive.
+
+        Returns False if a newer process of the member is known: the message is to be ignored.
+        """
         if not self._observe_sender(now, sender, boot_id, incarnation):
             return False
         match message:
-            case Ping(seq, _, gossip):
-                self._apply_updates(now, sender, gossip)
+            case Ping(seq, _, updates):
+                self._apply_updates(now, sender, updates)
                 self._send(sender, Ack(seq, self.progress(), self._select_updates(sender)))
-            case Ack(seq, _, gossip):
-                self._apply_updates(now, sender, gossip)
+            case Ack(seq, _, updates):
+                self._apply_updates(now, sender, updates)
                 self._on_ack(sender, seq)
             case IndirectPing(seq, target):
                 if target < len(self.members) and target != self.local_number:
-                    end = now + self.timing.ack_timeout_us
-                    self._send_ping(target, Probe(target, end, end, requester=sender, requester_seq=seq))
+                    deadline = now + self.timing.ack_timeout_us
+                    self._send_ping(
+                        target, Probe(target, deadline, deadline, requester=sender, requester_seq=seq)
+                    )
             case Nack(seq):
                 if probe := self.probes.get(seq):
                     probe.nacks += 1
@@ -266,103 +277,107 @@
                 )
         return True
 
-    def _on_ack(self, origin: int, seq: int) -> None:
+    def _on_ack(self, sender: int, seq: int) -> None:
         probe = self.probes.get(seq)
         if probe is None:
             return
-        if probe.requester is not None:  # what it answered us, we pass on
+        if probe.requester is not None:  # an indirect probe: forward the ack
             del self.probes[seq]
             if probe.requester == self.local_number:
                 return
-            note, target = self.progress(), self.members[probe.target]
-            told = (MemberUpdate(target.number, target.state, target.incarnation, target.boot_id),)
-            self._send(probe.requester, Ack(probe.requester_seq, note, told))
+            progress, target = self.progress(), self.members[probe.target]
+            updates = (MemberUpdate(target.number, target.state, target.incarnation, target.boot_id),)
+            self._send(probe.requester, Ack(probe.requester_seq, progress, updates))
             return
-        del self.probes[seq]  # by itself or through a helper
+        del self.probes[seq]  # acked directly or through an indirect probe
         self.health_multiplier = max(0, self.health_multiplier - 1)
 
-    def _observe_sender(self, now: int, origin: int, boot_id: int, incarnation: int) -> bool:
-        member = self.members[origin]
+    def _observe_sender(self, now: int, sender: int, boot_id: int, incarnation: int) -> bool:
+        member = self.members[sender]
         if boot_id != member.boot_id:
-            if member.boot_id and incarnation <= member.incarnation:  # late, or its clock went back:
-                self._send_update(origin, member)  # told so, the living one raises its incarnation
+            if member.boot_id and incarnation <= member.incarnation:
+                # A late datagram, or its clock went back; a live process then raises its incarnation.
+                self._send_update(sender, member)
                 return False
             self._set_state(now, member, MemberState.ALIVE, incarnation, boot_id)
         elif incarnation > member.incarnation:
             self._set_state(now, member, MemberState.ALIVE, incarnation, boot_id)
         elif incarnation == member.incarnation and member.state in (MemberState.SUSPECT, MemberState.GONE):
-            self._send_update(origin, member)  # it may refute; nobody else may for it
+            self._send_update(sender, member)  # only the member itself can refute this
         return True
 
     def _send_update(self, target: int, member: Member) -> None:
         update = MemberUpdate(member.number, member.state, member.incarnation, member.boot_id)
-        self.seq = (self.seq + 1) & 0x7FFFFFFF
+        self.seq = (self.seq + 1) & MAX_SEQ
         self._send(target, Ping(self.seq, self.progress(), (update,)))
 
-    def _apply_updates(self, now: int, origin: int, gossip: Iterable[MemberUpdate]) -> None:
-        for update in gossip:
+    def _apply_updates(self, now: int, sender: int, updates: Iterable[MemberUpdate]) -> None:
+        for update in updates:
             if update.number < len(self.members):
-                self._apply_update(now, origin, update)
+                self._apply_update(now, sender, update)
 
-    def _apply_update(self, now: int, origin: int, update: MemberUpdate) -> None:
-        number, life = update.number, MEMBER_STATES[update.state]
+    def _apply_update(self, now: int, sender: int, update: MemberUpdate) -> None:
+        number, state = update.number, MEMBER_STATES[update.state]
         incarnation, boot_id = update.incarnation, update.boot_id
         if boot_id == 0:
             return
         member = self.members[number]
         if number == self.local_number:
-            other = boot_id != self.boot_id and incarnation >= member.incarnation
-            if other or (
-                boot_id == self.boot_id and life > member.state and incarnation >= member.incarnation
+            is_other_process = boot_id != self.boot_id and incarnation >= member.incarnation
+            if is_other_process or (
+                boot_id == self.boot_id and state > member.state and incarnation >= member.incarnation
             ):
                 member.incarnation = min(incarnation + 1, MAX_INCARNATION)
                 self.updates.add(number)
                 self.refutations += 1
-                if not other and self.timing.lifeguard:
-                    self._worsen_health()  # we were taken for dead: we may be the slow one
+                if not is_other_process and self.timing.lifeguard:
+                    self._worsen_health()  # suspected by others: the local process may be slow
             return
         if boot_id != member.boot_id:
             if incarnation > member.incarnation:
-                self._set_state(now, member, life, incarnation, boot_id, origin)
+                self._set_state(now, member, state, incarnation, boot_id, sender)
             return
         if (
-            life is MemberState.GONE
+            state is MemberState.GONE
             and self.timing.direct_pings
             and member.state in (MemberState.ALIVE, MemberState.SUSPECT)
         ):
             if incarnation >= member.incarnation:
-                self._verify_removal(now, member, incarnation, origin)
+                self._verify_removal(now, member, incarnation, sender)
             return
-        if incarnation > member.incarnation or (incarnation == member.incarnation and life > member.state):
-            self._set_state(now, member, life, incarnation, boot_id, origin)
-        elif incarnation == member.incarnation and life is member.state is MemberState.SUSPECT:
-            self._confirm_suspicion(now, member, origin)
+        if incarnation > member.incarnation or (incarnation == member.incarnation and state > member.state):
+            self._set_state(now, member, state, incarnation, boot_id, sender)
+        elif incarnation == member.incarnation and state is member.state is MemberState.SUSPECT:
+            self._confirm_suspicion(now, member, sender)
+
+    def _verify_removal(self, now: int, member: Member, incarnation: int, sender: int) -> None:
+        """Treats a removal reported by another member as a suspicion and pings the member first.
 
-    def _verify_removal(self, now: int, member: Member, incarnation: int, origin: int) -> None:
-        """Another takes it for gone: one's mistake must not be everybody's, so it is asked by us as well."""
+        Otherwise one member's mistake would remove a live member everywhere.
+        """
         if member.state is MemberState.ALIVE:
-            self._set_state(now, member, MemberState.SUSPECT, incarnation, member.boot_id, origin)
-        soon = now + self.timing.direct_pings * self.timing.direct_ping_interval_us
-        member.suspect_until = min(member.suspect_until, soon)
+            self._set_state(now, member, MemberState.SUSPECT, incarnation, member.boot_id, sender)
+        deadline = now + self.timing.direct_pings * self.timing.direct_ping_interval_us
+        member.suspect_until = min(member.suspect_until, deadline)
 
-    # --- States.
+    # --- State changes.
 
-    def _move(self, member: Member, life: MemberState) -> None:
-        """The one place at which a member's life changes."""
-        self.by_state.move(member.number, member.state, life)
-        member.state = life
+    def _move(self, member: Member, state: MemberState) -> None:
+        """Changes a member's state and keeps `by_state` in step."""
+        self.by_state.move(member.number, member.state, state)
+        member.state = state
 
     def _set_state(
-        self, now: int, member: Member, life: MemberState, incarnation: int, boot_id: int, origin: int = -1
+        self, now: int, member: Member, state: MemberState, incarnation: int, boot_id: int, sender: int = -1
     ) -> None:
         before = member.state
-        self._move(member, life)
+        self._move(member, state)
         member.incarnation, member.boot_id, member.since = incarnation, boot_id, now
         member.suspected_by = ()
-        if life is MemberState.SUSPECT:
-            member.suspected_by = (origin,)
+        if state is MemberState.SUSPECT:
+            member.suspected_by = (sender,)
             member.suspect_until = now + self._suspicion_us(1)
-        if life is MemberState.GONE and before is not MemberState.GONE:
+        if state is MemberState.GONE and before is not MemberState.GONE:
             self.removals += 1
         self.updates.add(member.number)
 
@@ -370,19 +385,21 @@
         scale = max(1.0, math.log10(max(1, len(self.members))))
         return self.timing.suspicion_factor * scale * self.timing.probe_period_us
 
-    def _suspicion_us(self, suspectors: int) -> int:
-        """Long at first; the least once so many others have said the same."""
-        least = self._min_suspicion_us()
+    def _suspicion_us(self, confirmations: int) -> int:
+        """The suspicion timeout of Lifeguard: it shrinks to the shortest with enough confirmations."""
+        shortest = self._min_suspicion_us()
         if not self.timing.lifeguard:
-            return int(least * self.timing.max_suspicion_factor / 2)
-        wanted = min(self.timing.confirmations, max(1, len(self.members) - 2))
-        share = math.log(min(suspectors, wanted + 1)) / math.log(wanted + 1)
-        return int(max(least, least * self.timing.max_suspicion_factor * (1 - share) + least * share))
+            return int(shortest * self.timing.max_suspicion_factor / 2)
+        needed = min(self.timing.confirmations, max(1, len(self.members) - 2))
+        share = math.log(min(confirmations, needed + 1)) / math.log(needed + 1)
+        return int(
+            max(shortest, shortest * self.timing.max_suspicion_factor * (1 - share) + shortest * share)
+        )
 
-    def _confirm_suspicion(self, now: int, member: Member, origin: int) -> None:
-        if origin in member.suspected_by or len(member.suspected_by) > self.timing.confirmations:
+    def _confirm_suspicion(self, now: int, member: Member, sender: int) -> None:
+        if sender in member.suspected_by or len(member.suspected_by) > self.timing.confirmations:
             return
-        member.suspected_by += (origin,)
+        member.suspected_by += (sender,)
         member.suspect_until = min(
             member.suspect_until, member.since + self._suspicion_us(len(member.suspected_by))
         )
@@ -392,11 +409,14 @@
         if self.timing.lifeguard:
             self.health_multiplier = min(self.timing.max_health_multiplier, self.health_multiplier + by)
 
-    # --- Time.
+    # --- Timers.
 
     def tick(self, now: int) -> None:
-        """Several times a period. A turn that comes late shows that we stood still: nobody is blamed for
-        what we could not hear meanwhile."""
+        """Runs the timers; to be called several times a period.
+
+        A late tick shows that the process was paused. Suspicions are then extended, since acks could not be
+        received meanwhile.
+        """
         late, self.ticked_at = now - self.ticked_at, now
         if late > self.timing.pause_threshold_us:
             self.probes.clear()
@@ -411,9 +431,8 @@
             if now >= member.suspect_until:
                 self._set_state(now, member, MemberState.GONE, member.incarnation, member.boot_id)
             elif now >= member.suspect_until - self.timing.direct_pings * self.timing.direct_ping_interval_us:
-                if (
-                    now - member.pinged_at >= self.timing.direct_ping_interval_us
-                ):  # its own word may have been lost on the way
+                # Its refutation may have been lost, so it is pinged again.
+                if now - member.pinged_at >= self.timing.direct_ping_interval_us:
                     member.pinged_at = now
                     self._send_update(member.number, member)
         if now >= self.next_probe_at:
@@ -425,9 +444,10 @@
             self._probe_next(now)
         if now >= self.reconnected_at + self.timing.reconnect_interval_us:
             self.reconnected_at = now
-            if lost := self.by_state[MemberState.GONE]:  # never we ourselves
+            if removed := self.by_state[MemberState.GONE]:  # never holds the local member
                 self._send_ping(
-                    target := self.random.choice(lost), Probe(target, now, now, requester=self.local_number)
+                    target := self.random.choice(removed),
+                    Probe(target, now, now, requester=self.local_number),
                 )
 
     def _probe_next(self, now: int) -> None:
@@ -439,8 +459,8 @@
             ):
                 break
         else:
-            there = merge(self.by_state[MemberState.ALIVE], self.by_state[MemberState.SUSPECT])
-            self.probe_order = [number for number in there if number != self.local_number]
+            present = merge(self.by_state[MemberState.ALIVE], self.by_state[MemberState.SUSPECT])
+            self.probe_order = [number for number in present if number != self.local_number]
             self.random.shuffle(self.probe_order)
             if not self.probe_order:
                 return
@@ -452,7 +472,7 @@
         )
 
     def _send_ping(self, target: int, probe: Probe) -> None:
-        self.seq = (self.seq + 1) & 0x7FFFFFFF
+        self.seq = (self.seq + 1) & MAX_SEQ
         self.probes[self.seq] = probe
         self._send(target, Ping(self.seq, self.progress(), self._select_updates(target)))
 
@@ -465,16 +485,16 @@
             return
         if now >= probe.ack_due_at and not probe.indirect_sent:
             probe.indirect_sent = True
-            able = ExcludingView(self.by_state[MemberState.ALIVE], self.local_number, probe.target)
-            for helper in self.random.sample(able, min(self.timing.indirect_probes, len(able))):
+            candidates = ExcludingView(self.by_state[MemberState.ALIVE], self.local_number, probe.target)
+            for helper in self.random.sample(candidates, min(self.timing.indirect_probes, len(candidates))):
                 self._send(helper, IndirectPing(seq, probe.target))
-            if self.timing.direct_pings:  # once more ourselves: a lost datagram is likelier than a cut way
+            if self.timing.direct_pings:  # ping again: a lost datagram is likelier than a broken path
                 self._send(probe.target, Ping(seq, self.progress(), self._select_updates(probe.target)))
-            probe.requester_seq = min(self.timing.indirect_probes, len(able))  # so many were asked
+            probe.requester_seq = min(self.timing.indirect_probes, len(candidates))
         if now < probe.period_ends_at:
             return
         del self.probes[seq]
-        if probe.nacks < probe.requester_seq:  # helpers that say nothing either: it may be us
+        if probe.nacks < probe.requester_seq:  # missing nacks: the local links may be at fault
             self._worsen_health(probe.requester_seq - probe.nacks)
         elif probe.requester_seq == 0:
             self._worsen_health()
@@ -486,10 +506,10 @@
         elif member.state is MemberState.SUSPECT:
             self._confirm_suspicion(now, member, self.local_number)
 
-    # --- Out.
+    # --- Sending.
 
     def _select_updates(self, target: int) -> tuple[MemberUpdate, ...]:
-        """What is told least so far; to a suspect first of all that it is one."""
+        """The updates to send to a member: those sent least often, but to a suspect its own first."""
         if not self.updates and self.members[target].state is MemberState.ALIVE:
             return ()
         chosen = self.updates.least_sent(MAX_UPDATES)
@@ -511,9 +531,9 @@
         self.outbox.append((target, message))
 
     def leave(self, fence: int) -> None:
-        """We end: told to a few, who tell the rest."""
+        """Announces shutdown to a few members, which disseminate it."""
         self._move(self.local, MemberState.LEAVING)
         self.updates.add(self.local_number)
-        able = self.alive_peers()
-        for target in self.random.sample(able, min(6, len(able))):
+        peers = self.alive_peers()
+        for target in self.random.sample(peers, min(LEAVE_FANOUT, len(peers))):
             self._send(target, Leave(fence))
--- a/whintrail/fleet/node.py
+++ b/whintrail/fleet/node.py
@@ -1,7 +1,8 @@
-"""A gateway's part in its fleet: membership, the council where it is of it, what is agreed, its own wishes.
+"""A gateway's node in its fleet: membership, consensus if it is a voter, the replicated state, own requests.
 
-Sans-I/O: `take` datagrams, `tick` a few times a second, send what `flush` gives. What it sends is bounded by
-figures of the operator's file whatever the fleet's size: what matters least is left out first.
+Without I/O: the caller passes datagrams to `receive`, calls `tick` a few times a second, and sends what
+`flush` returns. Limits from the operator's file bound what a node sends, whatever the size of the fleet; the
+least urgent messages are left out first.
 """
 
 from collections import Counter
@@ -33,6 +34,7 @@
     UndrainEngine,
 )
 from whintrail.fleet.wire import (
+    RETRY_LATER,
     Ack,
     AnyMessage,
     AppendEntries,
@@ -82,6 +84,7 @@
     LeadEpoch,
 )
 MEMBERSHIP_MESSAGES = (Ping, Ack, IndirectPing, Nack, Leave)
+# Messages with a smaller number are sent first.
 SEND_PRIORITY: dict[type, int] = {
     CommittedEntries: 2,
     ChangeReply: 2,
@@ -92,19 +95,28 @@
     SnapshotChunk: 4,
 }
 SEND_PRIORITY |= {LeaseRequest: 1, LeaseReply: 1}
-LOWEST_PRIORITY = 5  # bodies and lists
-REPORT_INTERVAL_US, REPORT_REQUEST_TTL_US, REBROADCAST_INTERVAL_US = 500_000, 4_000_000, 200_000
-REBROADCASTS = 3
+CONSENSUS_PRIORITY = 0
+MEMBERSHIP_PRIORITY = 1
+REPLICA_PRIORITY = 4
+LOWEST_PRIORITY = 5  # settings bodies and engine lists
+REPORT_INTERVAL_US = 500_000
+REPORT_REQUEST_TTL_US = 4_000_000  # gateways report for so long after a request
+REBROADCAST_INTERVAL_US = 200_000
+REBROADCASTS = 3  # of each committed entry
+SECOND_US = 1_000_000
+MAX_U32 = 0xFFFFFFFF
+MAX_BUSY_DRAINS = 8  # in a report, by the wire format
+MAX_CLASSES = 4  # in a report, by the wire format
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """What the operator's file and the configuration say of the fleet."""
+    """The fleet's settings, from the operator's file and the configuration."""
 
     name: str
     local_number: int
     size: int
-    voters: tuple[int, ...]
+    voters: tuple[int, ...]  # the setting `council`
     build: str = ""
     zone: int = NO_ZONE
     zones: tuple[str, ...] = ()
@@ -118,23 +130,32 @@
 
 
 class LocalGateway(Protocol):
-    """What a gateway knows of itself."""
+    """What the node needs to know of its own gateway."""
+
+    def serving_ms(self, now: int) -> int:
+        """For how long it has served; 0: not yet or no longer."""
+        ...
 
-    def serving_ms(self, now: int) -> int: ...
     def open_attempts(self, engine: str) -> int:
-        """Attempts of its own that are out there."""
+        """The number of its attempts that run on the engine."""
+        ...
+
+    def outcome_counts(self) -> tuple[tuple[int, int, int, int], ...]:
+        """Taken, failed, refused and late queries since the start, by class."""
+        ...
+
+    def engines(self) -> dict[str, EngineAvailability]:
+        """The engines of its list, by name."""
         ...
 
-    def outcome_counts(self) -> tuple[tuple[int, int, int, int], ...]: ...
-    def engines(self) -> dict[str, EngineAvailability]: ...
     def check_body(self, body: Rules) -> str:
-        """Why this gateway can't act on a version; empty where it can."""
+        """Why the gateway can't use a settings version; empty if it can."""
         ...
 
 
 @dataclass(slots=True)
 class SendBudget:
-    """So many messages and bytes a second, and a second's worth at once."""
+    """A token bucket of messages and of bytes, with a burst of one second's worth."""
 
     messages_per_s: float
     bytes_per_s: float
@@ -143,11 +164,13 @@
     refilled_at: int = 0
 
     def refill(self, now: int) -> None:
-        passed, self.refilled_at = max(0, now - self.refilled_at) / 1e6, now
-        self.messages = min(self.messages_per_s, self.messages + passed * self.messages_per_s)
-        self.bytes = min(self.bytes_per_s, self.bytes + passed * self.bytes_per_s)
+        """Adds the tokens of the time since the last call."""
+        elapsed_s, self.refilled_at = max(0, now - self.refilled_at) / 1e6, now
+        self.messages = min(self.messages_per_s, self.messages + elapsed_s * self.messages_per_s)
+        self.bytes = min(self.bytes_per_s, self.bytes + elapsed_s * self.bytes_per_s)
 
     def take(self, size_bytes: int) -> bool:
+        """Takes the tokens for one message, if there are enough."""
         if self.messages < 1 or self.bytes < size_bytes:
             return False
         self.messages -= 1
@@ -160,7 +183,7 @@
 
 @dataclass(slots=True)
 class Rebroadcast:
-    """Decided entries are told to all, and again: any may be lost."""
+    """A broadcast of committed entries that is repeated, since datagrams may be lost."""
 
     prev_index: int
     remaining: int
@@ -168,6 +191,8 @@
 
 
 class FleetNode:
+    """A gateway's participation in the fleet."""
+
     def __init__(
         self,
         config: FleetConfig,
@@ -213,68 +238,71 @@
             self.settings = VersionService(
                 config.versions, config.local_number, random, local.check_body, self.membership, self._send
             )
-        self.known_leader = (0, 0, -1)  # epoch, term and number of the newest leader heard of
+        self.known_leader = (0, 0, -1)  # epoch, term and number of the latest known leader
         self.leader_seen_at = now
         self.send_budget = SendBudget(config.messages_per_s, config.bytes_per_s, refilled_at=now)
-        self.send_budget.refill(now + 1_000_000)
+        self.send_budget.refill(now + SECOND_US)
         self.send_budget.refilled_at = now
         self.counters: Counter[str] = Counter()
         self.outbox: list[tuple[int | None, AnyMessage]] = []
         self.reports_wanted_until, self.report_due_at = now, now
-        self.reports_requested_at = now - 1_000_000
+        self.reports_requested_at = now - SECOND_US
         self.rebroadcasts: list[Rebroadcast] = []
         self.now = now
 
-    # --- What is known here.
+    # --- Queries.
 
     @property
     def state(self) -> FleetState:
+        """The replicated state as known here."""
         return self.replica.state
 
     def progress(self) -> Progress:
+        """The local replication progress, sent with each ping and ack."""
         return Progress(
             self.replica.position, self.replica.digest, self.known_leader[2], self.known_leader[1]
         )
 
     @property
     def is_leader(self) -> bool:
+        """Whether this gateway is the leader, as far as it knows."""
         return self.consensus is not None and self.consensus.role is Role.LEADER
 
     def current_leader(self, now: int) -> int | None:
-        """Who leads, as far as heard of within a few seconds."""
+        """The number of the leader, if one is known."""
         if self.is_leader:
             return self.config.local_number
         number = self.known_leader[2]
         if number < 0 or number == self.config.local_number:
             return None
         member = self.membership.members[number]
-        # Suspects may answer yet; and a newcomer that waited until it heard of the leader by its own probes
-        # would wait for as many seconds as there are members.
+        # A suspect may still answer. A leader never heard from is accepted too: a new process would otherwise
+        # need a probe round, one second for each member, until it hears from the leader.
         if member.boot_id and member.state not in (MemberState.ALIVE, MemberState.SUSPECT):
             return None
         return number
 
     def drained_engines(self) -> frozenset[str]:
-        """Engines to which nothing new may go."""
+        """Engines that must not get new attempts."""
         drained = frozenset(self.state.drains)
         return drained if self.settings is None else drained | self.settings.engine_list.excluded_engines
 
-    # --- In.
+    # --- Received messages.
 
     def receive(self, now: int, sender: int, data: bytes) -> None:
-        """A datagram from the address of `origin`; whatever is wrong with it is counted and drops it."""
+        """Handles a datagram from the address of gateway `sender`; an invalid one is counted and dropped."""
         try:
-            letter = decode(self.fleet, data)
+            envelope = decode(self.fleet, data)
         except WireError as error:
             self.counters[f"dropped_{error}"] += 1
             return
-        if letter.sender != sender or sender == self.config.local_number:
+        if envelope.sender != sender or sender == self.config.local_number:
             self.counters["dropped_sender"] += 1
             return
         self.now = now
         self.counters["heard"] += 1
-        boot_id, message = letter.boot_id, letter.message
-        if not self.membership.receive(now, sender, boot_id, letter.incarnation, message):
+        boot_id, message = envelope.boot_id, envelope.message
+        if not self.membership.receive(now, sender, boot_id, envelope.incarnation, message):
             self.counters["dropped_successor"] += 1
             return
         if isinstance(message, Ping | Ack):
@@ -295,35 +323,35 @@
         if leader < self.config.size and (epoch, term) >= self.known_leader[:2] and leader >= 0:
             self.known_leader, self.leader_seen_at = (epoch, term, leader), now
 
-    def _dispatch(self, now: int, origin: int, boot_id: int, message: AnyMessage) -> None:
+    def _dispatch(self, now: int, sender: int, boot_id: int, message: AnyMessage) -> None:
         match message:
             case CommittedEntries():
-                self.replica.receive(now, origin, message)
+                self.replica.receive(now, sender, message)
             case SnapshotChunk():
-                self.replica.receive(now, origin, message)
+                self.replica.receive(now, sender, message)
             case CatchUpRequest():
-                self.replica.receive_pull(origin, self.known_leader[2], message)
+                self.replica.receive_pull(sender, self.known_leader[2], message)
             case ReportRequest(epoch, term):
-                self._observe_leader(now, epoch, term, origin)
+                self._observe_leader(now, epoch, term, sender)
                 self.reports_wanted_until = now + REPORT_REQUEST_TTL_US
                 self.report_due_at = min(
                     self.report_due_at, now + self.random.randrange(REPORT_INTERVAL_US // 2)
                 )
             case GatewayReport():
                 if self.leader is not None:
-                    self.leader.receive_report(now, origin, boot_id, message)
+                    self.leader.receive_report(now, sender, boot_id, message)
             case ChangeRequest():
                 if self.leader is not None and self.is_leader:
-                    self.leader.receive_request(now, origin, boot_id, message)
+                    self.leader.receive_request(now, sender, boot_id, message)
                 else:
-                    self._send(origin, ChangeReply(message.id, 2, 0, "it does not lead"))
+                    self._send(sender, ChangeReply(message.id, RETRY_LATER, 0, "it does not lead"))
             case ChangeReply():
                 self.leader_client.receive_reply(now, message, self.state)
             case _:
                 if self.settings is not None:
-                    self.settings.handle_message(now, origin, boot_id, message)
+                    self.settings.handle_message(now, sender, boot_id, message)
 
-    # --- What changed.
+    # --- State changes.
 
     def _on_applied(self, entry: Entry, refused: str) -> None:
         command = entry.command
@@ -333,7 +361,7 @@
             self._log_command(command)
 
     def _log_command(self, command: object) -> None:
-        """A line and a count for each decision, on every gateway that learns of it."""
+        """Logs and counts each committed decision, on every gateway."""
         match command:
             case GrantSlot(number, _, _, release):
                 slot = self.state.slots.get(number)
@@ -364,40 +392,41 @@
             case SetReleaseStatus(release, status, why):
                 self._log(f"release {STATUS_NAMES[status]}", release=release, why=why)
 
-    def _log_refusal(self, what: str, more: dict[str, object]) -> None:
-        self._log(what, **more)
+    def _log_refusal(self, event: str, fields: dict[str, object]) -> None:
+        self._log(event, **fields)
 
-    def _log(self, what: str, **more: object) -> None:
-        self.counters[what.replace(" ", "_")] += 1
-        self.log_event(what, more)
+    def _log(self, event: str, **fields: object) -> None:
+        self.counters[event.replace(" ", "_")] += 1
+        self.log_event(event, fields)
 
     def _update_role(self, now: int) -> None:
-        """After anything that may have changed who leads."""
-        council = self.consensus
-        if council is None:
+        """Follows a change of the leader: takes up or ends the leader's duties, and fetches a snapshot."""
+        consensus = self.consensus
+        if consensus is None:
             return
-        if council.snapshot_source is not None:
-            if council.snapshot_source >= 0:
-                self.replica.request_missing(now, council.snapshot_source)
-            council.install_snapshot(self.replica.position)
+        if consensus.snapshot_source is not None:
+            if consensus.snapshot_source >= 0:
+                self.replica.request_missing(now, consensus.snapshot_source)
+            consensus.install_snapshot(self.replica.position)
         if self.is_leader and self.leader is None:
-            args = self.config.rules, self.config.zones, self.wall_ms, self._log_refusal
-            self.leader = Leader(now, council, self.replica, self.membership, *args)
+            leader_args = self.config.rules, self.config.zones, self.wall_ms, self._log_refusal
+            self.leader = Leader(now, consensus, self.replica, self.membership, *leader_args)
             self.leader.engines = self.local.engines()
-            self._observe_leader(now, council.epoch, council.term, self.config.local_number)
-            self.reports_requested_at = now - 1_000_000
+            self._observe_leader(now, consensus.epoch, consensus.term, self.config.local_number)
+            self.reports_requested_at = now - SECOND_US
             if self.settings is not None:
-                self.settings.become_leader(now, council)
-            self._log("leads", term=council.term)
+                self.settings.become_leader(now, consensus)
+            self._log("leads", term=consensus.term)
         elif not self.is_leader and self.leader is not None:
             self.leader = None
             if self.settings is not None:
                 self.settings.leader = None
             self._log("leads no more")
 
-    # --- Time.
+    # --- Timers.
 
     def tick(self, now: int) -> None:
+        """Runs the timers of all components."""
         self.now = now
         self.membership.tick(now)
         if self.consensus is not None:
@@ -406,11 +435,11 @@
         if self.leader is not None:
             self._run_leader(now, self.leader)
         target = self.current_leader(now)
-        for ask in self.leader_client.due_requests(now, self.state, target is not None):
+        for request in self.leader_client.due_requests(now, self.state, target is not None):
             if target == self.config.local_number and self.leader is not None:
-                self.leader.receive_request(now, target, self.boot_id, ask)
+                self.leader.receive_request(now, target, self.boot_id, request)
             elif target is not None:
-                self._send(target, ask)
+                self._send(target, request)
         if now < self.reports_wanted_until and now >= self.report_due_at and target is not None:
             self.report_due_at = now + REPORT_INTERVAL_US
             if target != self.config.local_number:
@@ -423,11 +452,11 @@
         leader.engines = self.local.engines()
         leader.receive_report(now, self.config.local_number, self.boot_id, self.build_report(now))
         leader.tick(now)
-        for target, answer in leader.answers:
+        for target, reply in leader.answers:
             if target == self.config.local_number:
-                self.leader_client.receive_reply(now, answer, self.state)
+                self.leader_client.receive_reply(now, reply, self.state)
             else:
-                self._send(target, answer)
+                self._send(target, reply)
         leader.answers.clear()
         assert self.consensus is not None
         if (
@@ -437,54 +466,56 @@
             self._send(None, ReportRequest(self.consensus.epoch, self.consensus.term))
 
     def build_report(self, now: int) -> GatewayReport:
-        position, held, local = self.replica.position, self.leader_client.held_slot, self.local
-        busy = [d.fence for engine, d in self.state.drains.items() if local.open_attempts(engine)]
+        """This gateway's report to the leader."""
+        position, held_slot, local = self.replica.position, self.leader_client.held_slot, self.local
+        busy_drains = [d.fence for engine, d in self.state.drains.items() if local.open_attempts(engine)]
         return GatewayReport(
             position[0],
             position[1],
             position[2],
             self.config.build,
             self.config.zone,
-            0 if self.leader_client.is_leaving else min(local.serving_ms(now), 0xFFFFFFFF),
-            held.fence if held is not None else 0,
-            tuple(busy[-8:]),
-            local.outcome_counts()[:4],
+            0 if self.leader_client.is_leaving else min(local.serving_ms(now), MAX_U32),
+            held_slot.fence if held_slot is not None else 0,
+            tuple(busy_drains[-MAX_BUSY_DRAINS:]),
+            local.outcome_counts()[:MAX_CLASSES],
         )
 
     def _rebroadcast(self, now: int) -> None:
-        """As the leader: tell all what was decided since it was last told, three times over."""
+        """As leader, broadcasts newly committed entries to all gateways, several times."""
         if not self.is_leader:
             self.rebroadcasts.clear()
             return
-        told = max((r.prev_index for r in self.rebroadcasts), default=-1)
-        if self.replica.recent_entries and self.replica.position[2] > max(told, self.broadcast_index):
+        announced = max((r.prev_index for r in self.rebroadcasts), default=-1)
+        if self.replica.recent_entries and self.replica.position[2] > max(announced, self.broadcast_index):
             self.rebroadcasts.append(Rebroadcast(self.broadcast_index, REBROADCASTS, now))
             self.broadcast_index = self.replica.position[2]
-        for retell in list(self.rebroadcasts):
-            if now < retell.due_at:
+        for rebroadcast in list(self.rebroadcasts):
+            if now < rebroadcast.due_at:
                 continue
-            retell.remaining -= 1
-            retell.due_at = now + REBROADCAST_INTERVAL_US
-            message = self.replica.entries_after(self.config.local_number, retell.prev_index)
+            rebroadcast.remaining -= 1
+            rebroadcast.due_at = now + REBROADCAST_INTERVAL_US
+            message = self.replica.entries_after(self.config.local_number, rebroadcast.prev_index)
             if message is not None:
                 self._send(None, message)
-            if retell.remaining <= 0 or message is None:
-                self.rebroadcasts.remove(retell)
+            if rebroadcast.remaining <= 0 or message is None:
+                self.rebroadcasts.remove(rebroadcast)
 
-    broadcast_index = 0  # the last index of which all were told
+    broadcast_index = 0  # of the last entry that was broadcast
 
-    # --- Wishes.
+    # --- Requests to the leader.
 
     def submit(self, now: int, change: Change, timeout_s: float, retries: bool) -> int:
-        """Ask the leader; the outcome comes by this key within so many seconds."""
+        """Sends a request to the leader; returns the key of its outcome, which comes within the timeout."""
         return self.leader_client.submit(now, change, now + int(timeout_s * 1e6), retries)
 
     def take_outcomes(self) -> list[RequestOutcome]:
-        found, self.leader_client.outcomes = self.leader_client.outcomes, []
-        return found
+        """Returns and clears the outcomes of requests."""
+        outcomes, self.leader_client.outcomes = self.leader_client.outcomes, []
+        return outcomes
 
     def leave(self, now: int) -> int:
-        """The process ends; the fence of its slot, or 0 where it has none that it may use."""
+        """Starts shutdown; returns the fence of the slot that this uses, or 0 without one."""
         fence = self.leader_client.leave(now, self.state)
         self.counters["left_by_slot" if fence else "left_without_slot"] += 1
         self.membership.leave(fence)
@@ -492,27 +523,27 @@
             self.consensus.resign(now)
         return fence
 
-    # --- Out.
+    # --- Sending.
 
     def _send(self, target: int | None, message: AnyMessage) -> None:
         self.outbox.append((target, message))
 
     def flush(self, now: int) -> list[tuple[int | None, bytes]]:
-        """Datagrams to send now; None: to all."""
+        """Returns the datagrams to send now, with their targets; None: all gateways."""
         waiting: list[tuple[int, int | None, Message]] = []
         if not (self.outbox or self.membership.outbox or self.replica.outbox) and self.consensus is None:
-            return []  # most turns
+            return []  # the usual case
         if self.consensus is not None:
-            waiting += [(0, target, message) for target, message in self.consensus.outbox]
+            waiting += [(CONSENSUS_PRIORITY, target, message) for target, message in self.consensus.outbox]
             self.consensus.outbox.clear()
-        waiting += [(1, target, message) for target, message in self.membership.outbox]
+        waiting += [(MEMBERSHIP_PRIORITY, target, message) for target, message in self.membership.outbox]
         self.membership.outbox.clear()
         waiting += [
             (SEND_PRIORITY.get(type(message), LOWEST_PRIORITY), target, message)
             for target, message in self.outbox
         ]
         self.outbox.clear()
-        waiting += [(4, target, message) for target, message in self.replica.outbox]
+        waiting += [(REPLICA_PRIORITY, target, message) for target, message in self.replica.outbox]
         self.replica.outbox.clear()
         if not waiting:
             return []
