--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Agreement of the council: every order of events that a small one can see, and variants that break it."""
+"""Consensus of the voters: all event orders of a small model, broken variants, simulated faults."""
 
 from random import Random
 
@@ -12,42 +12,40 @@
 
 
 class SkipsRecovery(Consensus):
-    """Takes part at once after a start, as if it had never voted."""
+    """Votes at once after a start, though it may have voted before."""
 
     def tick(self, now: int) -> None:
         if self.role is Role.RECOVERING:
-            self.role, self.epoch, self.log.snapshot_position, self.term = (
-                Role.FOLLOWER,
-                1 << 32,
-                (1 << 32, 0, 0),
-                1,
-            )
+            self.role = Role.FOLLOWER
+            self.epoch = 1 << 32
+            self.log.snapshot_position = (1 << 32, 0, 0)
+            self.term = 1
         super().tick(now)
 
 
 class RecoversFromFirstReply(Consensus):
-    """Trusts whoever answers first, though that one may be behind."""
+    """Completes recovery with the first reply, though its sender may be behind."""
 
-    def _on_recovery_reply(self, now: int, origin: int, tell: RecoveryReply) -> None:
-        if self.role is Role.RECOVERING and self.recovery_target is None and tell.nonce == self.nonce:
-            self.term, self.epoch, self.log.snapshot_position = tell.term, tell.epoch, (tell.epoch, 0, 0)
+    def _on_recovery_reply(self, now: int, sender: int, reply: RecoveryReply) -> None:
+        if self.role is Role.RECOVERING and self.recovery_target is None and reply.nonce == self.nonce:
+            self.term, self.epoch, self.log.snapshot_position = reply.term, reply.epoch, (reply.epoch, 0, 0)
             self.role = Role.FOLLOWER
 
 
 class IgnoresCandidateLog(Consensus):
-    """Looks at the term alone, and not at what the candidate holds."""
+    """Checks only the candidate's term, not its log."""
 
-    def _on_vote_request(self, now: int, origin: int, ask: VoteRequest) -> None:
-        full = (ask.epoch, ask.term, ask.ballot, 0xFFFF, 0xFFFF, ask.is_prevote)
-        super()._on_vote_request(now, origin, VoteRequest(*full))
+    def _on_vote_request(self, now: int, sender: int, request: VoteRequest) -> None:
+        fields = (request.epoch, request.term, request.ballot, 0xFFFF, 0xFFFF, request.is_prevote)
+        super()._on_vote_request(now, sender, VoteRequest(*fields))
 
 
 class VotesTwice(Consensus):
-    """Gives its vote of a term to whoever asks."""
+    """Votes for more than one candidate in a term."""
 
-    def _on_vote_request(self, now: int, origin: int, ask: VoteRequest) -> None:
+    def _on_vote_request(self, now: int, sender: int, request: VoteRequest) -> None:
         self.voted_for = None
-        super()._on_vote_request(now, origin, ask)
+        super()._on_vote_request(now, sender, request)
 
 
 @pytest.mark.parametrize(
@@ -61,17 +59,17 @@
     ],
 )
 def test_broken_consensus_variants_are_detected(kind: type[Consensus], budget: Budget) -> None:
-    looked = explore(settled(3, kind), budget, 60_000, deep=True)
-    assert looked.wrong, looked
+    result = explore(settled(3, kind), budget, 60_000, deep=True)
+    assert result.wrong, result
 
 
 def test_no_event_order_breaks_consensus() -> None:
-    looked = explore(settled(3), Budget(votes=1, forgets=0, changes=1, asks=0), 60_000)
-    assert looked.complete and not looked.wrong, looked
-    looked = explore(settled(3), Budget(votes=2, forgets=0, changes=0, asks=0, doubts=1), 60_000)
-    assert looked.complete and not looked.wrong, looked
-    looked = explore(settled(3), Budget(votes=1, forgets=1, changes=1, asks=0), 25_000, deep=True)
-    assert not looked.wrong, looked
+    result = explore(settled(3), Budget(votes=1, forgets=0, changes=1, asks=0), 60_000)
+    assert result.complete and not result.wrong, result
+    result = explore(settled(3), Budget(votes=2, forgets=0, changes=0, asks=0, doubts=1), 60_000)
+    assert result.complete and not result.wrong, result
+    result = explore(settled(3), Budget(votes=1, forgets=1, changes=1, asks=0), 25_000, deep=True)
+    assert not result.wrong, result
 
 
 # --- In simulated time.
@@ -100,11 +98,11 @@
     assert world.now - before < 3_000_000
     release = world.state().release
     assert release is not None and release.build == "b2"
-    world.start(leader)  # from nothing: it recovers from the others
+    world.start(leader)  # without state: it recovers from the others
 
     def has_rejoined() -> bool:
-        council = world.node(leader).consensus
-        return council is not None and council.role is Role.FOLLOWER
+        consensus = world.node(leader).consensus
+        return consensus is not None and consensus.role is Role.FOLLOWER
 
     assert world.run(4, has_rejoined)
     assert world.run(2, lambda: world.node(leader).state.release is not None)
@@ -132,8 +130,8 @@
         world.start(number)
         world.run(5)
     assert world.leader() is not None
-    council = world.node(0).consensus
-    assert council is not None and council.epoch >> 32 == 1  # never all at once
+    consensus = world.node(0).consensus
+    assert consensus is not None and consensus.epoch >> 32 == 1  # there was always a quorum, so no new epoch
     assert all(world.node(n).state.release is not None for n in range(5))
 
 
@@ -145,10 +143,10 @@
     for number in range(3):
         world.kill(number)
         world.start(number)
-    assert world.run(3.5, lambda: world.leader() is not None) is False  # not before the quarantine
+    assert world.run(3.5, lambda: world.leader() is not None) is False  # not before the quarantine has passed
     assert world.run(8, lambda: world.leader() is not None)
-    council = world.node(0).consensus
-    assert council is not None and council.epoch >> 32 == 2
+    consensus = world.node(0).consensus
+    assert consensus is not None and consensus.epoch >> 32 == 2
     assert world.run(3, lambda: all(world.node(n).state.release is not None for n in range(5)))
 
 
@@ -157,16 +155,15 @@
     world.run(6, lambda: world.leader() is not None)
     leader = world.leader()
     assert leader is not None
-    world.fault = lambda a, b, _: [0.0] if (a == leader) == (b == leader) else []  # it alone
+    world.fault = lambda a, b, _: [0.0] if (a == leader) == (b == leader) else []  # isolates the leader
     assert world.run(4, lambda: world.leader() not in (None, leader))
     assert world.run(3, lambda: not world.node(leader).is_leader)
     world.fault = lambda a, b, _: []
     assert world.run(4, lambda: all(not world.node(n).is_leader for n in range(3)))
-    key = world.node(4).submit(world.clock(4), SlotRequest(world.node(4).boot_id, ""), 2, True)
+    request_key = world.node(4).submit(world.clock(4), SlotRequest(world.node(4).boot_id, ""), 2, True)
     world.run(3)
-    assert [o.status for o in world.node(4).take_outcomes() if o.key == key] == [
-        2
-    ]  # no majority: nothing new
+    # RETRY_LATER: there is no quorum.
+    assert [o.status for o in world.node(4).take_outcomes() if o.key == request_key] == [2]
     world.fault = lambda a, b, _: [0.0]
     assert world.run(4, lambda: world.leader() is not None)
 
@@ -175,9 +172,9 @@
     world = World(fleet_config, 5, 10)
     world.fault = lambda a, b, random: [] if random.random() < 0.33 else [random.random() * 0.05]
     assert world.run(12, lambda: world.leader() is not None)
-    terms = world.node(0).known_leader[1]
+    first_term = world.node(0).known_leader[1]
     world.run(60)
-    assert world.leader() is not None and world.node(0).known_leader[1] - terms <= 4
+    assert world.leader() is not None and world.node(0).known_leader[1] - first_term <= 4
 
 
 def test_single_voter() -> None:
@@ -186,8 +183,8 @@
 
 
 def isolate_and_drop(isolated: list[int], loss: float) -> Fault:
-    def fault(origin: int, target: int, random: Random) -> list[float]:
-        lost = origin in isolated or target in isolated or random.random() < loss
+    def fault(sender: int, target: int, random: Random) -> list[float]:
+        lost = sender in isolated or target in isolated or random.random() < loss
         return [] if lost else [random.random() * 0.1, random.random()]
 
     return fault
@@ -209,8 +206,8 @@
                 world.start(victim)
             case 1:
                 world.stop(victim, random.random() * 4)
-        who = random.choice(world.up())
-        world.node(who).submit(world.clock(who), SlotRequest(world.node(who).boot_id, ""), 2, False)
+        number = random.choice(world.up())
+        world.node(number).submit(world.clock(number), SlotRequest(world.node(number).boot_id, ""), 2, False)
         world.run(random.random() * 3)
     assert all(world.node(n).replica.divergences == 0 for n in range(5))
     world.fault = sound
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -1,5 +1,7 @@
-"""Slots, drains and releases in simulated time, with an auditor that sees only from outside; and variants of
-the real cores that it has to catch."""
+"""Slots, drains and releases in simulated time, checked by an auditor that observes the fleet from outside.
+
+Broken variants of the real classes show that the auditor detects their faults.
+"""
 
 from random import Random
 
@@ -34,12 +36,12 @@
         DisruptionBudget(fleet_budget, zone_budget), DisruptionBudget(2, 1), min_serving_us=proven_us
     )
 
-    def given(number: int, build: str) -> FleetConfig:
+    def fleet_config(number: int, build: str) -> FleetConfig:
         return FleetConfig(
             "f", number, count, (0, 1, 2), build=build, zone=number % 3, zones=ZONES, rules=rules
         )
 
-    world = World(given, count, seed, dict(ENGINES), drift=0.005)
+    world = World(fleet_config, count, seed, dict(ENGINES), drift=0.005)
     auditor = Auditor(
         world,
         absolute_limit(fleet_budget, count),
@@ -52,17 +54,17 @@
 
 
 def submit(world: World, number: int, change: object, timeout_s: float = 5.0, retries: bool = True) -> int:
-    """The word of the answer."""
+    """Sends a request and returns the status of the answer."""
     node = world.node(number)
-    key = node.submit(world.clock(number), change, timeout_s, retries)  # type: ignore[arg-type]
-    words: list[int] = []
+    request_key = node.submit(world.clock(number), change, timeout_s, retries)  # type: ignore[arg-type]
+    statuses: list[int] = []
 
     def answered() -> bool:
-        words.extend(o.status for o in node.take_outcomes() if o.key == key)
-        return bool(words)
+        statuses.extend(o.status for o in node.take_outcomes() if o.key == request_key)
+        return bool(statuses)
 
     assert world.run(timeout_s + 1, answered)
-    return words[0]
+    return statuses[0]
 
 
 # --- Slots.
@@ -95,8 +97,8 @@
         world.run(0.2)
         assert sum(world.processes[n] is None for n in (0, 1, 2)) <= 1
     assert [supervisors[n].restarted for n in (0, 1, 2)] == [1, 1, 1]
-    council = world.node(0).consensus
-    assert council is not None and council.epoch >> 32 == 1 and not auditor.breaches
+    consensus = world.node(0).consensus
+    assert consensus is not None and consensus.epoch >> 32 == 1 and not auditor.breaches
 
 
 def test_crashed_gateways_count_against_the_budget() -> None:
@@ -120,7 +122,7 @@
     assert not supervisors[4].waits_us and 3 in world.state().slots
     assert submit(world, 5, SlotReturn(3, 0, True)) == 0
     assert world.run(3, lambda: 3 not in world.state().slots)
-    assert not supervisors[4].waits_us  # it is down all the same, and counts
+    assert not supervisors[4].waits_us  # the crashed gateway still counts as unavailable
 
 
 def test_unused_slot_is_returned_by_its_holder() -> None:
@@ -132,7 +134,7 @@
     assert 3 in world.state().slots
     assert world.run(3, lambda: not world.state().slots)
     assert world.run(6, lambda: world.processes[3] is None)
-    assert auditor.went[-1].fence == 0  # it went all the same, and that is counted
+    assert auditor.went[-1].fence == 0  # it restarted without a slot, which is counted
 
 
 def test_holder_paused_past_its_deadline_has_no_slot() -> None:
@@ -171,14 +173,14 @@
                 world.stop(victim.number, random.random() * 5)
         world.run(random.random() * 5)
     assert not auditor.breaches
-    assert sum(w.fence > 0 for w in auditor.went) >= 10  # it is no way to keep the budget to grant nothing
+    assert sum(w.fence > 0 for w in auditor.went) >= 10  # granting nothing would keep the budget too
 
 
-# --- Variants that the auditor has to catch.
+# --- Broken variants that the auditor has to detect.
 
 
 class UnfencedClient(LeaderClient):
-    """Takes an answer once given for good: it looks at no clock, and not at who holds the slot by now."""
+    """Uses a granted slot whenever it likes: it checks neither the deadline nor the current fence."""
 
     def usable_fence(self, now: int, state: FleetState) -> int:
         return self.held_slot.fence if self.held_slot is not None else 0
@@ -187,11 +189,11 @@
         return None
 
 
-@pytest.mark.parametrize("holder", [LeaderClient, UnfencedClient])
+@pytest.mark.parametrize("client_class", [LeaderClient, UnfencedClient])
 def test_detects_slot_use_without_fencing(
-    holder: type[LeaderClient], monkeypatch: pytest.MonkeyPatch
+    client_class: type[LeaderClient], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_module, "Holder", holder)
+    monkeypatch.setattr(node_module, "LeaderClient", client_class)
     world, auditor, supervisors = make_world(fleet_budget=1)
     supervisors[3].slow_us, supervisors[4].down_us = 12_000_000, 60_000_000
     supervisors[3].restart("old")
@@ -204,14 +206,14 @@
     assert world.run(3, lambda: world.processes[4] is None)
     world.run(6)
     assert auditor.went[-1].number == 3
-    assert bool(auditor.breaches) is (holder is UnfencedClient)
+    assert bool(auditor.breaches) is (client_class is UnfencedClient)
 
 
-@pytest.mark.parametrize("holder", [LeaderClient, UnfencedClient])
+@pytest.mark.parametrize("client_class", [LeaderClient, UnfencedClient])
 def test_detects_late_grant_used_after_halt(
-    holder: type[LeaderClient], monkeypatch: pytest.MonkeyPatch
+    client_class: type[LeaderClient], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_module, "Holder", holder)
+    monkeypatch.setattr(node_module, "LeaderClient", client_class)
     world, auditor, supervisors = make_world(fleet_budget=1)
     assert submit(world, 4, ReleaseRequest("new", (500, 1000), "")) == 0
     supervisors[3].slow_us = 4_000_000
@@ -222,7 +224,7 @@
     auditor.halted_at = world.now
     world.run(6)
     assert auditor.went[-1].number == 3
-    assert bool(auditor.breaches) is (holder is UnfencedClient)
+    assert bool(auditor.breaches) is (client_class is UnfencedClient)
 
 
 def test_detects_slot_freed_by_leader_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -267,8 +269,8 @@
     supervisors[3].restart("old")
     leader = world.leader()
     assert leader is not None
-    assert world.run(2, lambda: 3 in world.node(leader).state.slots)  # decided
-    assert not supervisors[3].waits_us  # and not told
+    assert world.run(2, lambda: 3 in world.node(leader).state.slots)  # committed
+    assert not supervisors[3].waits_us  # but not answered
     auditor.down[leader] = (world.now, False)
     world.kill(leader)
     world.run(0.5)
@@ -308,16 +310,17 @@
         process = world.processes[number]
         assert process is not None
         process.engines = {**ENGINES, "e5": EngineAvailability("c", "not fit")}
-    assert submit(world, 8, DrainRequest("e2", "", 0, False)) == 1  # e5 is in its zone
+    assert submit(world, 8, DrainRequest("e2", "", 0, False)) == 1  # its zone has an unfit engine, e5
     assert submit(world, 8, DrainRequest("nobody", "", 0, False)) == 1
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
-    assert submit(world, 8, DrainRequest("e0", "", 0, False)) == 1  # two are out
-    assert submit(world, 8, DrainRequest("e5", "", 0, False)) == 0  # out already: it costs nothing more
+    assert submit(world, 8, DrainRequest("e0", "", 0, False)) == 1  # two are unavailable
+    # It is unavailable already, so its drain costs no capacity.
+    assert submit(world, 8, DrainRequest("e5", "", 0, False)) == 0
 
 
 def test_drain_is_undone_when_losses_exhaust_the_budget() -> None:
     world, _, _ = make_world()
-    world.busy[6, "e1"] = 1  # it is not done
+    world.busy[6, "e1"] = 1  # so that the drain is not done
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
     for number in range(9):
         process = world.processes[number]
@@ -328,7 +331,7 @@
             "e5": EngineAvailability("c", "not fit"),
         }
     world.run(1)
-    assert "e1" in world.state().drains  # one that was missed for a moment halts nothing
+    assert "e1" in world.state().drains  # a short loss does not undo it
     assert world.run(4, lambda: "e1" not in world.state().drains)
     assert any("halted" in str(more.get("why")) for _, _, what, more in world.lines)
 
@@ -343,7 +346,7 @@
 
 
 class TreatsSilenceAsConfirmation(Leader):
-    """Takes silence for a yes."""
+    """Treats a missing report as confirmation."""
 
     def drain_blockers(self, now: int, engine: str) -> list[int]:
         return [
@@ -360,11 +363,11 @@
     monkeypatch.setattr(node_module, "Leader", leader)
     world, _, _ = make_world()
     world.busy[6, "e1"] = 1
-    world.fault = lambda a, b, _: [] if a == 6 else [0.0]  # it hears, and is not heard
+    world.fault = lambda a, b, _: [] if a == 6 else [0.0]  # it receives, but its datagrams are lost
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
     world.run(3)
-    wrong = is_drain_done(world, "e1") and world.busy[6, "e1"] > 0
-    assert wrong is (leader is TreatsSilenceAsConfirmation)
+    done_too_early = is_drain_done(world, "e1") and world.busy[6, "e1"] > 0
+    assert done_too_early is (leader is TreatsSilenceAsConfirmation)
 
 
 def test_silent_gateway_blocks_drain_until_it_reports_or_is_given_up() -> None:
@@ -372,10 +375,10 @@
     world.kill(6)
     world.stop(7, 12)
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
-    world.run(20)  # by now all take the sixth for gone: that is no proof, it may be cut off
+    world.run(20)  # gateway 6 is removed by now, but it may only be cut off
     assert world.node(1).membership.members[6].state.name == "GONE"
     assert not is_drain_done(world, "e1")
-    assert submit(world, 8, SlotReturn(5, 0, True)) == 1  # the fifth is alive
+    assert submit(world, 8, SlotReturn(5, 0, True)) == 1  # gateway 5 is alive
     assert submit(world, 8, SlotReturn(6, 0, True)) == 0
     assert world.run(5, lambda: is_drain_done(world, "e1"))
 
@@ -395,7 +398,7 @@
 
 
 def request_restarts(world: World, supervisors: list[Supervisor], build: str) -> None:
-    """Every supervisor of a gateway that is not on it asks again and again."""
+    """Requests a restart of every gateway that is not on the build."""
     for supervisor in supervisors:
         process = world.processes[supervisor.number]
         if process is not None and process.build != build:
@@ -442,7 +445,7 @@
     request_restarts(world, supervisors, "new")
     world.run(15)
     state = world.state().release
-    assert state is not None and (state.status, state.step) == (RUNNING, 0)  # little traffic: it waits
+    assert state is not None and (state.status, state.step) == (RUNNING, 0)  # too little traffic to decide
     assert sum(p is not None and p.build == "new" for p in world.processes) == 2
     world.bad["new"] = (0.2, 0.0, 0.0)
     for process in world.processes:
@@ -493,7 +496,7 @@
     assert not auditor.breaches
     world.fault = lambda a, b, _: [] if (a in (0, 1, 2)) or (b in (0, 1, 2)) else [0.0]
     world.run(3)
-    assert submit(world, 7, ReleaseStatusRequest(RUNNING, "")) == 2  # no majority: no way forward
+    assert submit(world, 7, ReleaseStatusRequest(RUNNING, "")) == 2  # RETRY_LATER: there is no quorum
 
 
 def test_release_by_zone_proceeds_in_order_despite_zone_partition() -> None:
@@ -506,7 +509,7 @@
     order: list[str] = []
     for turn in range(50):
         request_restarts(world, supervisors, "new")
-        if turn == 2:  # the last zone is cut off for a while
+        if turn == 2:  # cuts off the last zone for a while
             world.fault = lambda a, b, _: [] if (a % 3 == 2) != (b % 3 == 2) else [0.0]
         if turn == 5:
             world.fault = sound
@@ -529,7 +532,7 @@
     auditor.halted_at = world.now
     request_restarts(world, supervisors, "new")
     world.run(10)
-    assert not any(w.fence for w in auditor.went)  # nor on the side that has not heard of it
+    assert not any(w.fence for w in auditor.went)  # also on the side that the halt has not reached
     world.fault = sound
     assert world.run(5, lambda: world.node(6).state.release is not None and release_status(world) == HALTED)
     request_restarts(world, supervisors, "new")
@@ -546,9 +549,8 @@
     world.run(5)
     assert world.sent[8] - before <= 400 * ((world.now - began) / 1e6 + 1)
     assert node.counters["held_back"] > 100
-    assert (
-        world.leader() is not None and node.membership.count_in(node.membership.local.state) == 9
-    )  # it still lives
+    # It is still alive.
+    assert world.leader() is not None and node.membership.count_in(node.membership.local.state) == 9
 
 
 def make_report(build: str, *counts: int) -> GatewayReport:
@@ -558,8 +560,8 @@
 def run_comparison(
     seed: int, new_failure_share: float, old_failure_share: float, queries_per_s: float, seconds: int
 ) -> tuple[Verdict, int]:
-    """What one step's comparison says of two shares of failures, and after how many seconds."""
-    random, found = Random(seed), BuildComparison("new", ComparisonRules())
+    """The verdict of a comparison with two shares of failures, and after how many seconds."""
+    random, comparison = Random(seed), BuildComparison("new", ComparisonRules())
     totals = {number: [0, 0] for number in range(10)}
     for second in range(seconds):
         for number, total in totals.items():
@@ -567,8 +569,8 @@
             taken = int(queries_per_s) + (random.random() < queries_per_s % 1)
             total[0] += taken
             total[1] += sum(random.random() < share for _ in range(taken))
-            found.add_report(number, 1, make_report(build, total[0], total[1], 0, 0))
-        verdict, _ = found.evaluate()
+            comparison.add_report(number, 1, make_report(build, total[0], total[1], 0, 0))
+        verdict, _ = comparison.evaluate()
         if verdict is not Verdict.WAIT:
             return verdict, second
     return Verdict.WAIT, seconds
@@ -579,15 +581,15 @@
     assert same.count(Verdict.HALT) <= 4 and same.count(Verdict.GO) >= 90
     worse = [run_comparison(seed, 0.12, 0.02, 5, 400)[0] for seed in range(100)]
     assert worse.count(Verdict.GO) <= 6 and worse.count(Verdict.HALT) >= 90
-    assert run_comparison(1, 0.5, 0.02, 0.05, 60)[0] is Verdict.WAIT  # three queries prove nothing
+    assert run_comparison(1, 0.5, 0.02, 0.05, 60)[0] is Verdict.WAIT  # three queries are no evidence
 
 
 def test_counter_reset_is_not_counted_as_traffic() -> None:
-    found = BuildComparison("new")
-    found.add_report(1, 1, make_report("new", 1000, 900, 0, 0))
-    found.add_report(1, 2, make_report("new", 0, 0, 0, 0))
-    found.add_report(1, 2, make_report("new", 10, 0, 0, 0))
-    assert found.new.taken == {0: 10} and found.new.bad[0, 0] == 0
+    comparison = BuildComparison("new")
+    comparison.add_report(1, 1, make_report("new", 1000, 900, 0, 0))
+    comparison.add_report(1, 2, make_report("new", 0, 0, 0, 0))
+    comparison.add_report(1, 2, make_report("new", 10, 0, 0, 0))
+    assert comparison.new.taken == {0: 10} and comparison.new.bad[0, 0] == 0
 
 
 def test_budget_limits_as_counts_and_shares() -> None:
@@ -597,8 +599,9 @@
         absolute_limit(0.001, 200),
         absolute_limit(0.1, 0),
     ] == [2, 20, 1, 0]
-    outs = [Unavailable("n1", "a", "gone"), Unavailable("n2", None, "no fresh report")]
+    unavailable = [Unavailable("n1", "a", "gone"), Unavailable("n2", None, "no fresh report")]
     sizes = {"a": 10, "b": 10}
-    assert exhausted_budget(DisruptionBudget(3, 2), outs, "b", sizes, 20) == ""
-    assert "n2" in exhausted_budget(DisruptionBudget(3, 1), outs, "b", sizes, 20)  # where it is nobody knows
-    assert "2 of 2 out" in exhausted_budget(DisruptionBudget(2, 9), outs, "b", sizes, 20)
+    assert exhausted_budget(DisruptionBudget(3, 2), unavailable, "b", sizes, 20) == ""
+    # The zone of n2 is unknown, so it counts in each.
+    assert "n2" in exhausted_budget(DisruptionBudget(3, 1), unavailable, "b", sizes, 20)
+    assert "2 of 2 out" in exhausted_budget(DisruptionBudget(2, 9), unavailable, "b", sizes, 20)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -1,4 +1,4 @@
-"""The fleet's datagrams: what is written is read, and nothing else is."""
+"""The wire format of the fleet's datagrams, and the replicated state."""
 
 import struct
 
@@ -88,15 +88,18 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (wire.encode(wire.fleet_id("g"), 1, 2, 3, wire.Nack(1)), "fleet"),
         (with_checksum(wire.HEADER.pack(wire.MAGIC, 2, FLEET, 1, 2, 3), b"\x92\x04\x01"), "version"),
-        (with_checksum(wire.HEADER.pack(wire.MAGIC, 1, FLEET, 1, 2, 3), b"\x92\x04\x01\x00"), "form"),  # more
+        (
+            with_checksum(wire.HEADER.pack(wire.MAGIC, 1, FLEET, 1, 2, 3), b"\x92\x04\x01\x00"),
+            "form",
+        ),  # trailing byte
         (
             with_checksum(wire.HEADER.pack(wire.MAGIC, 1, FLEET, 1, 2, 3), b"\x93\x04\x01\x02"),
             "form",
-        ),  # a field
+        ),  # extra field
         (
             with_checksum(wire.HEADER.pack(wire.MAGIC, 1, FLEET, 1, 2, 3), b"\x92\x04\xff"),
             "form",
@@ -104,34 +107,35 @@
         (with_checksum(wire.HEADER.pack(1, 1, FLEET, 1, 2, 3), b"\x92\x04\x01"), "mark"),
     ],
 )
-def test_each_decode_error_has_its_reason(data: bytes, why: str) -> None:
-    with pytest.raises(wire.WireError, match=why):
+def test_each_decode_error_has_its_reason(data: bytes, reason: str) -> None:
+    with pytest.raises(wire.WireError, match=reason):
         wire.decode(FLEET, data)
 
 
 @given(st.lists(command, max_size=20))
 def test_same_commands_give_same_state_and_state_round_trips(commands: list[AnyCommand]) -> None:
-    one, other, chain = FleetState(), FleetState(), 0
-    for index, each in enumerate(commands):
-        assert one.apply(each) == other.apply(each)
-        chain = extend_digest(chain, index, each)
-    assert FleetState.decode(one.encode()) == one and one.encode() == other.encode()
-    other.apply(GrantSlot(70_00, 1, 1, 0, 0))
-    assert (one.encode() == other.encode()) == (one.slots == other.slots)
+    first, second, digest = FleetState(), FleetState(), 0
+    for index, next_command in enumerate(commands):
+        assert first.apply(next_command) == second.apply(next_command)
+        digest = extend_digest(digest, index, next_command)
+    assert FleetState.decode(first.encode()) == first and first.encode() == second.encode()
+    second.apply(GrantSlot(70_00, 1, 1, 0, 0))
+    assert (first.encode() == second.encode()) == (first.slots == second.slots)
 
 
 def test_slot_grants_during_a_halted_release() -> None:
     state = FleetState()
     assert state.apply(StartRelease("b2", (500, 1000), "", 0, False)) == ""
     assert state.apply(GrantSlot(1, 7, 1, 1, 0)) == "" and state.slots[1].fence == 1
-    assert state.apply(GrantSlot(1, 7, 1, 1, 0)) == "" and state.last_fence == 1  # asked twice, one slot
+    # A repeated request gets the same slot.
+    assert state.apply(GrantSlot(1, 7, 1, 1, 0)) == "" and state.last_fence == 1
     assert state.apply(GrantSlot(1, 8, 2, 1, 0)) == "it holds a slot already"
     assert state.apply(FreeSlot(1, 9, "")) == "no such slot"
     assert state.apply(SetReleaseStatus(1, 1, "worse")) == ""
-    assert "halted" in state.apply(GrantSlot(2, 5, 1, 1, 0))  # it was on its way when the halt came
+    assert "halted" in state.apply(GrantSlot(2, 5, 1, 1, 0))  # a grant that was proposed before the halt
     assert state.apply(AdvanceRelease(1, 1, ())) == "no such release under way"
     assert state.apply(SetReleaseStatus(1, 0, "")) == "" and state.apply(AdvanceRelease(1, 1, ())) == ""
-    assert state.apply(AdvanceRelease(1, 1, ())) == "not its next step"  # none is begun twice
+    assert state.apply(AdvanceRelease(1, 1, ())) == "not its next step"  # a step is not repeated
     assert (
         state.apply(SetReleaseStatus(1, 3, "")) == ""
         and state.apply(SetReleaseStatus(1, 0, "")) == "it is done"
@@ -144,4 +148,4 @@
 
 
 def test_checksum_matches_rfc_3720() -> None:
-    assert checksum.crc32c(b"123456789") == 0xE3069283  # RFC 3720's polynomial, the usual check value
+    assert checksum.crc32c(b"123456789") == 0xE3069283  # the check value of the polynomial
