--- a/benchmarks/fleetcost.py
+++ b/benchmarks/fleetcost.py
@@ -1,9 +1,9 @@
-"""What a fleet part costs a gateway: python -m benchmarks.fleetcost [--rounds 6] [--rate 200]
+"""The cost of taking part in a fleet: python -m benchmarks.fleetcost [--rounds 6] [--rate 200]
 
-Two fleets of five processes at the same time, one with a `fleet` part in its file and one with a file that
-has none, each with engines of its own; both may talk (memos of probes). Idle: CPU of the leader, another of
-the council, and a member.
-Then the same load on a member of each, pair by pair: CPU a request. Resident memory of each.
+Two fleets of five processes run at the same time, one with a `fleet` section in its operator's file and one
+without, each with its own engines; both exchange probe reports. Measures the idle CPU and the resident memory
+of the leader, another voter and a member, then the CPU per request under the same load on a member of each,
+in pairs.
 """
 
 import asyncio
@@ -21,33 +21,40 @@
 from whintrail.standins.peers import Fleet, fleet
 from whintrail.standins.scripted import Engine, wait_for
 
-COUNT, LEADER, COUNCIL, MEMBER = 5, 0, 1, 4
+GATEWAYS = 5
+# Numbers of gateways.
+LEADER = 0
+VOTER = 1
+MEMBER = 4
 
 
 def cpu_us(pid: int) -> float:
-    """Time on a core since the start, over all threads."""
+    """CPU time of a process since its start, over all threads."""
     total = 0
     for task in os.listdir(f"/proc/{pid}/task"):
         total += int(Path(f"/proc/{pid}/task/{task}/schedstat").read_text().split()[0])
     return total / 1000
 
 
-def gateway_pid(given: Fleet, number: int) -> int:
-    return given.gateways[number].process.pid  # `run` ends by exec
+def gateway_pid(fleet_under_test: Fleet, number: int) -> int:
+    return fleet_under_test.gateways[number].process.pid  # the start script ends with exec
 
 
 async def run_pair(fleets: tuple[Fleet, Fleet], rate: float, seconds: float, seed: int) -> list[float]:
-    """CPU microseconds a request on a member of each, under the same load at the same time."""
+    """CPU microseconds per request on a member of each fleet, under the same load at the same time."""
 
-    async def one(given: Fleet) -> float:
-        pid, load = gateway_pid(given, MEMBER), Load(given.ports[MEMBER], rate, QUERY_MIX, seed)
+    async def run_side(fleet_under_test: Fleet) -> float:
+        pid, load = (
+            gateway_pid(fleet_under_test, MEMBER),
+            Load(fleet_under_test.ports[MEMBER], rate, QUERY_MIX, seed),
+        )
         before = cpu_us(pid)
         await load.run(seconds)
         load.close()
         assert load.ends["served"] > 0.98 * load.asked, load.ends
         return (cpu_us(pid) - before) / load.asked
 
-    return list(await asyncio.gather(*(one(given) for given in fleets)))
+    return list(await asyncio.gather(*(run_side(fleet_under_test) for fleet_under_test in fleets)))
 
 
 @click.command()
@@ -61,26 +68,33 @@
             return {"fleet": {"name": "f", "council": [0, 1, 2], "socket": f"{name}/s{number}"}}
 
         engines = [[Engine(f"s-{n}") for n in range(4)] for _ in range(2)]
-        on = stack.enter_context(fleet(COUNT, *engines[0], operator=operator))
-        off = stack.enter_context(fleet(COUNT, *engines[1], operator=lambda number, build: {"logging": {}}))
+        with_fleet = stack.enter_context(fleet(GATEWAYS, *engines[0], operator=operator))
+        without_fleet = stack.enter_context(
+            fleet(GATEWAYS, *engines[1], operator=lambda number, build: {"logging": {}})
+        )
         wait_for(lambda: next(send_request(f"{name}/s0", {"what": "status"}))["leader"] is not None)
-        asyncio.run(run_pair((on, off), 10, 2, 0))
+        asyncio.run(run_pair((with_fleet, without_fleet), 10, 2, 0))
         asyncio.run(asyncio.sleep(10))
-        places = {"leader": LEADER, "of the council": COUNCIL, "member": MEMBER}
+        numbers = {"leader": LEADER, "of the council": VOTER, "member": MEMBER}
         before = {
-            (side, place): cpu_us(gateway_pid(side, n)) for side in (on, off) for place, n in places.items()
+            (side, role): cpu_us(gateway_pid(side, n))
+            for side in (with_fleet, without_fleet)
+            for role, n in numbers.items()
         }
         asyncio.run(asyncio.sleep(idle_s))
-        for place, number in places.items():
-            spent = [
-                (cpu_us(gateway_pid(side, number)) - before[side, place]) / idle_s / 1e4 for side in (on, off)
+        for role, number in numbers.items():
+            cpu_shares = [
+                (cpu_us(gateway_pid(side, number)) - before[side, role]) / idle_s / 1e4
+                for side in (with_fleet, without_fleet)
             ]
-            sizes = [resident_mb(gateway_pid(side, number)) for side in (on, off)]
+            sizes = [resident_mb(gateway_pid(side, number)) for side in (with_fleet, without_fleet)]
             click.echo(
-                f"idle, {place}: {spent[0]:.2f}% of a core on, {spent[1]:.2f}% off;"
+                f"idle, {role}: {cpu_shares[0]:.2f}% of a core on, {cpu_shares[1]:.2f}% off;"
                 f" resident {sizes[0]:.1f} and {sizes[1]:.1f} MB"
             )
-        pairs = [asyncio.run(run_pair((on, off), rate, 4, seed)) for seed in range(1, rounds + 1)]
+        pairs = [
+            asyncio.run(run_pair((with_fleet, without_fleet), rate, 4, seed)) for seed in range(1, rounds + 1)
+        ]
         ratios = sorted(a / b for a, b in pairs)
         click.echo(
             f"a request at {rate:g}/s: {median(a for a, _ in pairs):.0f} us on,"
--- a/benchmarks/fleetfaults.py
+++ b/benchmarks/fleetfaults.py
@@ -1,9 +1,10 @@
-"""Processes of the program under random faults, with a budget: python -m benchmarks.fleetfaults --seeds 50
+"""Gateway processes under random faults: python -m benchmarks.fleetfaults --seeds 50
 
-Each seed: six gateways (three of them the council), supervisors that restart them by slots, and for a while
-kill -9, SIGSTOP, splits, losses, the leader and the whole council among the victims. From outside only: a
-gateway is out from the answer that lets it go, or from its death, until it answers an empty query again. A
-breach is one let go while others that are out, or were lost 4 s before, use the budget.
+Each seed runs six gateways, three of them voters, with supervisors that restart them with slots, under kill
+-9, SIGSTOP, partitions and datagram loss; the leader and all voters may be hit. Observed from outside: a
+gateway is unavailable from the answer that allows its restart, or from its crash, until it answers an empty
+query again. A breach of the disruption budget is an allowed restart while others that are unavailable, or
+crashed more than 4 s ago, use up the budget.
 """
 
 import signal
@@ -27,12 +28,15 @@
 from whintrail.standins.peers import Fleet, fleet, lossy, sound, split
 from whintrail.standins.scripted import Engine, query
 
-SIZE, COUNCIL, ALLOWED, GRACE_S = 6, 3, 2, 4.0
+GATEWAYS = 6
+VOTERS = 3
+BUDGET = 2  # gateways that may be unavailable
+CRASH_GRACE_S = 4.0  # in which a crash need not be known yet
 
 
 @dataclass
 class OutageAuditor:
-    """Who is out, since when, and whether it was let go."""
+    """The unavailable gateways, since when, and whether by an allowed restart; counts breaches."""
 
     down: dict[int, tuple[float, bool]] = field(default_factory=dict)
     breaches: list[str] = field(default_factory=list)
@@ -41,19 +45,20 @@
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def record_planned_exit(self, number: int, requested_at: float, fence: int) -> None:
+        """Counts an allowed restart, and a breach if the budget is used up or the fence is reused."""
         now = time.monotonic()
         with self.lock:
             others = {
                 n: planned
                 for n, (since, planned) in self.down.items()
-                if n != number and (planned or now - since > GRACE_S)
+                if n != number and (planned or now - since > CRASH_GRACE_S)
             }
             self.counts["let go"] += 1
             self.counts[f"fence {fence}"] += 1
             if self.counts[f"fence {fence}"] > 1:
-                self.breaches.append(f"fence {fence} twice")
-            if len(others) + 1 > ALLOWED:
-                self.breaches.append(f"n{number} let go beside {sorted(others)}")
+                self.breaches.append(f"fence {fence} used twice")
+            if len(others) + 1 > BUDGET:
+                self.breaches.append(f"n{number} allowed to restart beside {sorted(others)}")
             self.down[number] = (now, True)
             self.waits_s.append(now - requested_at)
 
@@ -68,10 +73,13 @@
 
 
 class FaultRun:
-    def __init__(self, given: Fleet, folder: Path, seed: int, seconds: float) -> None:
-        self.given, self.folder, self.random = given, folder, Random(seed)
+    """One seed: supervisors, load and faults against a fleet."""
+
+    def __init__(self, processes: Fleet, folder: Path, seed: int, seconds: float) -> None:
+        self.processes, self.folder, self.random = processes, folder, Random(seed)
         self.auditor, self.ends_at = OutageAuditor(), time.monotonic() + seconds
-        self.locks = [threading.Lock() for _ in range(SIZE)]  # who starts and ends a gateway
+        # Of each gateway, held while it is restarted.
+        self.locks = [threading.Lock() for _ in range(GATEWAYS)]
         self.answers: Counter[str] = Counter()
 
     @property
@@ -79,41 +87,43 @@
         return time.monotonic() > self.ends_at
 
     def start(self, number: int) -> None:
-        if self.given.gateways[number].process.poll() is None:
+        """Starts a gateway that has ended, and waits until it serves."""
+        if self.processes.gateways[number].process.poll() is None:
             return
-        self.given.gateways[number] = self.given.start(number)
+        self.processes.gateways[number] = self.processes.start(number)
         end = time.monotonic() + 15
         while time.monotonic() < end:
             with suppress(OSError, AssertionError):
-                if self.given.ready(number):
+                if self.processes.ready(number):
                     self.auditor.record_return(number)
                     return
             time.sleep(0.02)
 
     def supervise(self, number: int) -> None:
+        """Restarts a gateway with slots, again and again."""
         random = Random(number)
         while not self.is_over:
             time.sleep(random.random() * 3)
-            began = time.monotonic()
-            asked: dict[str, Any] = {"what": "may-restart", "wait": True, "wait_s": 5, "stop": True}
+            requested_at = time.monotonic()
+            request: dict[str, Any] = {"what": "may-restart", "wait": True, "wait_s": 5, "stop": True}
             try:
-                row = next(send_request(str(self.folder / f"s{number}"), asked, 8), None)
+                row = next(send_request(str(self.folder / f"s{number}"), request, 8), None)
             except (ControlError, OSError):
                 continue
             if row is None or row["word"] != "done":
                 continue
             with self.locks[number]:
-                self.auditor.record_planned_exit(number, began, row["fence"])
+                self.auditor.record_planned_exit(number, requested_at, row["fence"])
                 with suppress(Exception):
-                    self.given.gateways[number].process.wait(10)
+                    self.processes.gateways[number].process.wait(10)
                 time.sleep(random.random())
                 self.start(number)
 
     def load(self, number: int) -> None:
         while not self.is_over:
             try:
-                session = self.given.client(number)
-            except (OSError, AssertionError):  # refused, or closed before it greeted
+                session = self.processes.client(number)
+            except (OSError, AssertionError):  # refused, or closed before the greeting
                 time.sleep(0.05)
                 continue
             with suppress(OSError, ValueError):
@@ -126,20 +136,21 @@
             session.close()
 
     def inject_faults(self) -> None:
-        random, relay = self.random, self.given.relay
+        """Changes network faults, and kills, pauses or slows down random gateways."""
+        random, relay = self.random, self.processes.relay
         while not self.is_over:
-            draw = random.random()
-            if draw < 0.3:
+            kind = random.random()
+            if kind < 0.3:
                 relay.fault = lossy(random.choice([0.05, 0.33]), most_s=0.05, doubled=0.1)
-            elif draw < 0.45:
-                part = set(random.sample(range(SIZE), random.randrange(1, 4)))
-                relay.fault = split(part, set(range(SIZE)) - part)
+            elif kind < 0.45:
+                one_side = set(random.sample(range(GATEWAYS), random.randrange(1, 4)))
+                relay.fault = split(one_side, set(range(GATEWAYS)) - one_side)
             else:
                 relay.fault = sound
-            victims = range(COUNCIL) if random.random() < 0.08 else [random.randrange(SIZE)]
+            victims = range(VOTERS) if random.random() < 0.08 else [random.randrange(GATEWAYS)]
             action = random.choice(["kill", "stop", "starve", "nothing"])
             for number in victims:
-                gateway = self.given.gateways[number]
+                gateway = self.processes.gateways[number]
                 if gateway.process.poll() is not None:
                     continue
                 if action == "kill" and self.locks[number].acquire(blocking=False):
@@ -162,7 +173,7 @@
 
     @staticmethod
     def throttle(process: "subprocess.Popen[bytes]", seconds: float) -> None:
-        """A tenth of a core."""
+        """Lets a process run for a tenth of the time."""
         end = time.monotonic() + seconds
         while time.monotonic() < end and process.poll() is None:
             process.send_signal(signal.SIGSTOP)
@@ -178,14 +189,14 @@
             self.locks[number].release()
 
     def run(self) -> None:
-        work = [threading.Thread(target=self.supervise, args=(n,)) for n in range(SIZE)]
-        work += [threading.Thread(target=self.load, args=(n,)) for n in range(SIZE)]
-        for thread in work:
+        threads = [threading.Thread(target=self.supervise, args=(n,)) for n in range(GATEWAYS)]
+        threads += [threading.Thread(target=self.load, args=(n,)) for n in range(GATEWAYS)]
+        for thread in threads:
             thread.start()
         self.inject_faults()
-        for thread in work:
+        for thread in threads:
             thread.join(30)
-        time.sleep(6)  # what is still to come back
+        time.sleep(6)  # for gateways that are still to return
 
 
 def run_seed(seed: int, seconds: float) -> dict[str, Any]:
@@ -193,33 +204,33 @@
         folder = Path(name)
 
         def operator(number: int, build: str) -> dict[str, Any]:
-            out = {"gateways": ALLOWED, "gateways_a_zone": ALLOWED, "engines": 1}
-            council = list(range(COUNCIL))
-            part = {
+            budgets = {"gateways": BUDGET, "gateways_a_zone": BUDGET, "engines": 1}
+            voters = list(range(VOTERS))
+            settings = {
                 "name": "f",
-                "council": council,
-                "out": out,
+                "council": voters,
+                "out": budgets,
                 "proven_s": 0.5,
                 "socket": f"{name}/s{number}",
             }
-            return {"fleet": {**part, "use_within_s": 1.0, "quarantine_s": 2.0}}
+            return {"fleet": {**settings, "use_within_s": 1.0, "quarantine_s": 2.0}}
 
-        with fleet(SIZE, Engine("s-1"), Engine("s-2"), operator=operator) as given:
+        with fleet(GATEWAYS, Engine("s-1"), Engine("s-2"), operator=operator) as processes:
             time.sleep(4)
-            what = FaultRun(given, folder, seed, seconds)
-            what.run()
-            outside = what.auditor
-            texts = [gateway.text() for gateway in given.gateways]
+            run = FaultRun(processes, folder, seed, seconds)
+            run.run()
+            auditor = run.auditor
+            texts = [gateway.text() for gateway in processes.gateways]
             faults = sum(text.count("faults=") + text.count("Traceback") for text in texts)
             return {
                 "seed": seed,
-                "breaches": outside.breaches,
-                "let go": outside.counts["let go"],
-                "killed": outside.counts["killed"],
-                "stopped": outside.counts["stopped"],
+                "breaches": auditor.breaches,
+                "let go": auditor.counts["let go"],
+                "killed": auditor.counts["killed"],
+                "stopped": auditor.counts["stopped"],
                 "faults": faults,
-                "waits": outside.waits_s,
-                "answers": dict(what.answers),
+                "waits": auditor.waits_s,
+                "answers": dict(run.answers),
             }
 
 
--- a/benchmarks/fleetrelease.py
+++ b/benchmarks/fleetrelease.py
@@ -1,10 +1,10 @@
-"""A whole release of twelve processes under a mixed load, and the same restart without agreement.
+"""A release of twelve gateway processes under a mixed load, and the same restarts without coordination.
 
     python -m benchmarks.fleetrelease --size 12 --clients 24
 
-Clients (lookups, reports, and loads that may run once) go to any gateway, and to another when it refuses the
-connection. Each request has one final answer or a connection that ended with none; what a client sends again
-after that is a new request, and loads are not sent again. Counts come from clients and engines only.
+Clients send lookups, reports and loads that may run only once. They connect to any gateway, and to another
+one when it refuses the connection. Each request has one final answer, or its connection ends without one. A
+client then sends a new request; loads are not repeated. All counts come from the clients and the engines.
 """
 
 import random
@@ -28,12 +28,12 @@
 
 
 class ClientPool:
-    """Clients until told to stop."""
+    """Clients that run until `stop_and_join`."""
 
-    def __init__(self, given: Fleet, clients: int) -> None:
-        self.given, self.outcomes = given, Counter[str]()
+    def __init__(self, processes: Fleet, clients: int) -> None:
+        self.processes, self.outcomes = processes, Counter[str]()
         self.loads: set[str] = set()
-        self.unanswered: set[str] = set()  # their connection ended with no answer
+        self.unanswered: set[str] = set()  # ids of requests whose connection ended without an answer
         self.served_at: list[float] = []
         self.request_numbers, self.stop = count(), threading.Event()
         self.threads = [threading.Thread(target=self._client, args=(n,)) for n in range(clients)]
@@ -41,11 +41,11 @@
             thread.start()
 
     def _client(self, seed: int) -> None:
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         while not self.stop.is_set():
             try:
-                session = self.given.client(chance.randrange(len(self.given.ports)))
-            except (OSError, AssertionError):  # refused, or closed before it greeted
+                session = self.processes.client(random_source.randrange(len(self.processes.ports)))
+            except (OSError, AssertionError):  # refused, or closed before the greeting
                 self.outcomes["refused connection"] += 1
                 time.sleep(0.02)
                 continue
@@ -53,15 +53,15 @@
                 for _ in range(10):
                     kind = QUERY_KINDS[next(self.request_numbers) % len(QUERY_KINDS)]
                     text = query(kind)
-                    call = text.partition("call=")[2][:16]
+                    request_id = text.partition("call=")[2][:16]
                     if kind == "once":
-                        self.loads.add(call)
+                        self.loads.add(request_id)
                     self.outcomes["asked"] += 1
-                    self.unanswered.add(call)
+                    self.unanswered.add(request_id)
                     answer = session.ask(text)
                     if not answer.status:
                         break
-                    self.unanswered.discard(call)
+                    self.unanswered.discard(request_id)
                     if answer.rows:
                         self.served_at.append(time.monotonic())
                     self.outcomes["served" if answer.rows else f"error {answer.sqlstate}"] += 1
@@ -74,47 +74,48 @@
             thread.join(20)
 
 
-def restart(given: Fleet, number: int, build: str) -> None:
-    given.gateways[number].process.wait(15)
-    given.gateways[number] = given.start(number, build)
-    wait_for(lambda: given.ready(number))
+def restart(processes: Fleet, number: int, build: str) -> None:
+    """Waits for the end of a gateway and starts it on a build."""
+    processes.gateways[number].process.wait(15)
+    processes.gateways[number] = processes.start(number, build)
+    wait_for(lambda: processes.ready(number))
 
 
-def run_coordinated_release(given: Fleet, folder: str) -> None:
-    """Supervisors that ask."""
-    asked = {"what": "release", "build": "new", "steps": (0.1, 0.5, 1.0), "wait_s": 5}
-    row = next(send_request(f"{folder}/s0", asked, 10))
+def run_coordinated_release(processes: Fleet, folder: str) -> None:
+    """Restarts all gateways by supervisors that request slots, as a release."""
+    request = {"what": "release", "build": "new", "steps": (0.1, 0.5, 1.0), "wait_s": 5}
+    row = next(send_request(f"{folder}/s0", request, 10))
     assert row["word"] == "done", row
 
     def supervise(number: int) -> None:
         while True:
-            want: dict[str, Any] = {"what": "may-restart", "wait": True, "wait_s": 10, "stop": True}
+            slot_request: dict[str, Any] = {"what": "may-restart", "wait": True, "wait_s": 10, "stop": True}
             with suppress(ControlError):
-                row = next(send_request(f"{folder}/s{number}", want, 15), {"word": "none"})
+                row = next(send_request(f"{folder}/s{number}", slot_request, 15), {"word": "none"})
                 if row["word"] == "done":
                     break
-        restart(given, number, "new")
+        restart(processes, number, "new")
 
-    threads = [threading.Thread(target=supervise, args=(n,)) for n in range(len(given.ports))]
+    threads = [threading.Thread(target=supervise, args=(n,)) for n in range(len(processes.ports))]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
 
-    def over() -> bool:
+    def is_over() -> bool:
         row = next(send_request(f"{folder}/s0", {"what": "status"}))
         return bool(row["release"]["status"] == "done")
 
-    wait_for(over, 60)
+    wait_for(is_over, 60)
 
 
-def run_uncoordinated_release(given: Fleet) -> None:
-    """Four operators, each with a script of their own for a quarter, one gateway after the other."""
+def run_uncoordinated_release(processes: Fleet) -> None:
+    """Restarts all gateways by four scripts, each of which restarts a quarter of them one after another."""
 
     def script(first: int) -> None:
-        for number in range(first, len(given.ports), 4):
-            given.gateways[number].process.terminate()
-            restart(given, number, "new")
+        for number in range(first, len(processes.ports), 4):
+            processes.gateways[number].process.terminate()
+            restart(processes, number, "new")
 
     threads = [threading.Thread(target=script, args=(n,)) for n in range(4)]
     for thread in threads:
@@ -124,45 +125,50 @@
 
 
 def measure_release(size: int, clients: int, coordinated: bool) -> dict[str, Any]:
+    """Runs one release under load and counts what clients and engines saw."""
     with tempfile.TemporaryDirectory() as folder:
 
         def operator(number: int, build: str) -> dict[str, Any]:
-            out = {"gateways": 2, "gateways_a_zone": 1, "engines": 1}
-            part = {"name": "f", "council": [0, 1, 2, 3, 4], "out": out, "build": build or "old"}
-            return {"fleet": {**part, "proven_s": 1.0, "socket": f"{folder}/s{number}"}}
+            budgets = {"gateways": 2, "gateways_a_zone": 1, "engines": 1}
+            settings = {"name": "f", "council": [0, 1, 2, 3, 4], "out": budgets, "build": build or "old"}
+            return {"fleet": {**settings, "proven_s": 1.0, "socket": f"{folder}/s{number}"}}
 
         engines = [Engine(f"s-{n}") for n in range(6)]
-        with fleet(size, *engines, operator=operator, zones=3) as given:
-            asked = {"what": "status"}
-            wait_for(lambda: next(send_request(f"{folder}/s0", asked))["leader"] is not None)
-            crowd = ClientPool(given, clients)
+        with fleet(size, *engines, operator=operator, zones=3) as processes:
+            request = {"what": "status"}
+            wait_for(lambda: next(send_request(f"{folder}/s0", request))["leader"] is not None)
+            client_pool = ClientPool(processes, clients)
             time.sleep(6)
-            began = time.monotonic()
-            usual = len(crowd.served_at) / 6
-            run_coordinated_release(given, folder) if coordinated else run_uncoordinated_release(given)
-            ended = time.monotonic()
+            started_at = time.monotonic()
+            usual_rate = len(client_pool.served_at) / 6
+            run_coordinated_release(processes, folder) if coordinated else run_uncoordinated_release(
+                processes
+            )
+            ended_at = time.monotonic()
             time.sleep(1)
-            crowd.stop_and_join()
-            during = [at for at in crowd.served_at if began <= at < ended]
-            worst = min(
-                sum(second <= at - began < second + 1 for at in during)
-                for second in range(max(1, int(ended - began)))
+            client_pool.stop_and_join()
+            during = [at for at in client_pool.served_at if started_at <= at < ended_at]
+            worst_second = min(
+                sum(second <= at - started_at < second + 1 for at in during)
+                for second in range(max(1, int(ended_at - started_at)))
+            )
+            runs_by_id = Counter(
+                run.id for engine in engines for run in engine.done if run.id in client_pool.loads
             )
-            ran = Counter(did.id for engine in engines for did in engine.done if did.id in crowd.loads)
-            assert all(gateway_pid(given, n) for n in range(size))
+            assert all(gateway_pid(processes, n) for n in range(size))
             return {
                 "way": "agreed" if coordinated else "at will",
-                "took s": ended - began,
-                "usual/s": usual,
-                "during/s": len(during) / (ended - began),
-                "worst second": worst,
-                "loads": len(ran),
-                "run twice": sum(times > 1 for times in ran.values()),
-                "unanswered": len(crowd.unanswered),
+                "took s": ended_at - started_at,
+                "usual/s": usual_rate,
+                "during/s": len(during) / (ended_at - started_at),
+                "worst second": worst_second,
+                "loads": len(runs_by_id),
+                "run twice": sum(times > 1 for times in runs_by_id.values()),
+                "unanswered": len(client_pool.unanswered),
                 "unanswered that ran": len(
-                    {did.id for engine in engines for did in engine.done} & crowd.unanswered
+                    {run.id for engine in engines for run in engine.done} & client_pool.unanswered
                 ),
-                "ends": dict(crowd.outcomes),
+                "ends": dict(client_pool.outcomes),
             }
 
 
@@ -170,7 +176,7 @@
 @click.option("--size", default=12, show_default=True)
 @click.option("--clients", default=24, show_default=True)
 def main(size: int, clients: int) -> None:
-    rows = [measure_release(size, clients, together) for together in (True, False)]
+    rows = [measure_release(size, clients, coordinated) for coordinated in (True, False)]
     print_rows(rows, list(rows[0]), "json")
 
 
