--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -16,8 +16,8 @@
 from statistics import median
 
 from benchmarks.injected_faults import FreePort
-from whintrail.standins.fleet import Fleet
-from whintrail.standins.load import Load, until_serves
+from whintrail.standins.engine_fleet import EngineFleet
+from whintrail.standins.load_generator import LoadGenerator, wait_until_serving
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 QUERY_MIX = [("lookup", 5.0, 1.0)]
@@ -41,7 +41,7 @@
     def __init__(self, folder: Path, engines: int, timeline: dict[str, object] | None) -> None:
         self.folder, self.timeline = folder, timeline
         folder.mkdir()
-        self.fleet = Fleet(engines)
+        self.fleet = EngineFleet(engines)
 
     async def start(self) -> None:
         with FreePort() as self.port:
@@ -55,15 +55,15 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "whintrail", env=environment, stderr=asyncio.subprocess.DEVNULL
         )
-        await until_serves(self.port)
+        await wait_until_serving(self.port)
 
     async def measure(self, rate: float, seconds: float, seed: int) -> float:
         """Run the load and return the CPU microseconds per request."""
-        load, before = Load(self.port, rate, QUERY_MIX, seed), cpu_s(self.process.pid)
+        load, before = LoadGenerator(self.port, rate, QUERY_MIX, seed), cpu_s(self.process.pid)
         await load.run(seconds)
         load.close()
-        assert load.ends["served"] > 0.98 * load.asked, load.ends
-        return (cpu_s(self.process.pid) - before) / load.asked * 1e6
+        assert load.outcomes["served"] > 0.98 * load.queries_sent, load.outcomes
+        return (cpu_s(self.process.pid) - before) / load.queries_sent * 1e6
 
     async def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,8 +25,8 @@
 from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.state import HALTED
 from whintrail.fleet.wire import Change, DrainRequest, ReleaseRequest, ReleaseStatusRequest
-from whintrail.standins.simulated import World, sound
-from whintrail.standins.supervised import Auditor, Supervisor, supervise
+from whintrail.standins.fleet_simulation import FleetSimulation, deliver_once
+from whintrail.standins.restart_audit import Auditor, Supervisor, create_supervisors
 
 ZONES = ("a", "b", "c", "d")
 FLEET_SHARE = 0.05
@@ -48,7 +48,9 @@
     took_s: float = 0.0
 
 
-def build_world(count: int, seed: int, tick_us: int = 50_000) -> tuple[World, Auditor, list[Supervisor]]:
+def build_world(
+    count: int, seed: int, tick_us: int = 50_000
+) -> tuple[FleetSimulation, Auditor, list[Supervisor]]:
     """A simulated fleet with a leader, its auditor and its supervisors."""
     rules = LeaderRules(DisruptionBudget(FLEET_SHARE, ZONE_SHARE), DisruptionBudget(0.05, 0.2))
     engines = {f"e{n}": EngineAvailability(ZONES[n % 4]) for n in range(80)}
@@ -58,17 +60,17 @@
             "f", number, count, (0, 1, 2, 3, 4), build=build, zone=number % 4, zones=ZONES, rules=rules
         )
 
-    world = World(fleet_config, count, seed, engines, 0.005, tick_us)
+    world = FleetSimulation(fleet_config, count, seed, engines, 0.005, tick_us)
     fleet_limit, zone = absolute_limit(FLEET_SHARE, count), absolute_limit(ZONE_SHARE, count // 4)
     auditor = Auditor(world, fleet_limit, zone, lambda n: ZONES[n % 4])
     world.run(10, lambda: world.leader() is not None)
     world.run(4)
-    return world, auditor, supervise(world, auditor)
+    return world, auditor, create_supervisors(world, auditor)
 
 
-def change_fault(world: World, random: Random) -> None:
+def change_fault(world: FleetSimulation, random: Random) -> None:
     """Replaces the network fault by a random one, or none."""
-    world.fault = sound
+    world.fault = deliver_once
     kind = random.random()
     if kind < 0.4:
         loss = random.choice([0.05, 0.2, 0.33])
@@ -93,7 +95,7 @@
     for _ in range(rounds):
         change_fault(world, random)
         for supervisor in random.sample(supervisors, max(4, count // 12)):
-            supervisor.slow_us = random.choice([0, 0, 0, 400_000, 3_000_000])
+            supervisor.termination_delay_us = random.choice([0, 0, 0, 400_000, 3_000_000])
             supervisor.down_us = random.randrange(500_000, 4_000_000)
             supervisor.restart(target, 6)
         for _ in range(random.randrange(3)):
@@ -102,37 +104,41 @@
                 case 0 if world.processes[victim.number] is not None:
                     victim.kill(random.randrange(500_000, 8_000_000))
                 case 1:
-                    world.stop(victim.number, random.random() * 5)
+                    world.pause(victim.number, random.random() * 5)
         if random.random() < 0.1:  # all voters
             for number in range(5):
                 if world.processes[number] is not None:
                     supervisors[number].kill(random.randrange(300_000, 1_500_000))
         for _ in range(random.randrange(3)):
-            engine, requester = f"e{random.randrange(80)}", random.choice(world.up())
-            world.busy = {(random.randrange(count), engine): 1 for _ in range(2)}
+            engine, requester = f"e{random.randrange(80)}", random.choice(world.running_numbers())
+            world.open_attempts = {(random.randrange(count), engine): 1 for _ in range(2)}
             world.node(requester).submit(world.clock(requester), DrainRequest(engine, "", 0, False), 4, True)
-        lines = len(world.lines)
+        lines = len(world.log_lines)
         for _ in range(10):
             world.run(random.random() * 0.5)
-            for at, _, event, fields in world.lines[lines:]:
+            for at, _, event, fields in world.log_lines[lines:]:
                 if (
                     event == "engine drain done"
                     and (key := (str(fields["engine"]), at // 5_000_000)) not in done_drains
                 ):
                     done_drains.add(key)
-                    busy = [n for (n, e), c in world.busy.items() if e == key[0] and c and n in world.up()]
+                    busy = [
+                        n
+                        for (n, e), c in world.open_attempts.items()
+                        if e == key[0] and c and n in world.running_numbers()
+                    ]
                     if busy:
                         result.breaches.append(f"{at / 1e6:.2f} s: {key[0]} done, held by n{busy[0]}")
-            lines = len(world.lines)
-        world.busy = {}
+            lines = len(world.log_lines)
+        world.open_attempts = {}
     result.breaches += auditor.breaches
-    result.granted = sum(w.fence > 0 for w in auditor.went)
-    result.left_without_slot = len(auditor.went) - result.granted
-    result.most_out = max((w.out for w in auditor.went if w.fence), default=0)
+    result.granted = sum(w.fence > 0 for w in auditor.departures)
+    result.left_without_slot = len(auditor.departures) - result.granted
+    result.most_out = max((w.total_down for w in auditor.departures if w.fence), default=0)
     result.drains = len(done_drains)
-    result.epochs = max(world.node(n).replica.position[0] for n in world.up()) >> 32
-    result.slot_waits_s = [us / 1e6 for s in supervisors for us in s.waits_us]
-    divergences = sum(world.node(n).replica.divergences for n in world.up())
+    result.epochs = max(world.node(n).replica.position[0] for n in world.running_numbers()) >> 32
+    result.slot_waits_s = [us / 1e6 for s in supervisors for us in s.slot_waits_us]
+    divergences = sum(world.node(n).replica.divergences for n in world.running_numbers())
     if divergences:
         result.breaches.append(f"{divergences} replicas with diverging histories")
     result.took_s = time.perf_counter() - started_at
@@ -140,7 +146,7 @@
 
 
 def measure_delay(
-    world: World, change: Change, number: int, is_reached: Callable[[], bool], timeout_s: float
+    world: FleetSimulation, change: Change, number: int, is_reached: Callable[[], bool], timeout_s: float
 ) -> float | None:
     """Submits a change; returns the seconds until the condition holds, or None at the timeout."""
     before = world.now
@@ -154,8 +160,8 @@
     random, result = Random(seed), dict[str, float | None]()
     requester = random.randrange(6, count)
     supervisors[requester].restart("old")
-    world.run(10, lambda: bool(supervisors[requester].waits_us))
-    waits = supervisors[requester].waits_us
+    world.run(10, lambda: bool(supervisors[requester].slot_waits_us))
+    waits = supervisors[requester].slot_waits_us
     result["slot"] = waits[0] / 1e6 if waits else None
     world.run(12)
 
@@ -171,7 +177,7 @@
     world.run(3)
 
     def is_halted() -> bool:
-        releases = [world.node(n).state.release for n in world.up()]
+        releases = [world.node(n).state.release for n in world.running_numbers()]
         return all(r is not None and r.status == HALTED for r in releases)
 
     result["halt known to all"] = measure_delay(world, ReleaseStatusRequest(HALTED, ""), other, is_halted, 20)
--- a/benchmarks/fleetcost.py
+++ b/benchmarks/fleetcost.py
@@ -17,8 +17,8 @@
 
 from benchmarks.cost import QUERY_MIX, resident_mb
 from whintrail.control import send_request
-from whintrail.standins.load import Load
-from whintrail.standins.peers import Fleet, fleet
+from whintrail.standins.gateway_fleet import GatewayFleet, fleet
+from whintrail.standins.load_generator import LoadGenerator
 from whintrail.standins.scripted import Engine, wait_for
 
 GATEWAYS = 5
@@ -36,23 +36,25 @@
     return total / 1000
 
 
-def gateway_pid(fleet_under_test: Fleet, number: int) -> int:
+def gateway_pid(fleet_under_test: GatewayFleet, number: int) -> int:
     return fleet_under_test.gateways[number].process.pid  # the start script ends with exec
 
 
-async def run_pair(fleets: tuple[Fleet, Fleet], rate: float, seconds: float, seed: int) -> list[float]:
+async def run_pair(
+    fleets: tuple[GatewayFleet, GatewayFleet], rate: float, seconds: float, seed: int
+) -> list[float]:
     """CPU microseconds per request on a member of each fleet, under the same load at the same time."""
 
-    async def run_side(fleet_under_test: Fleet) -> float:
+    async def run_side(fleet_under_test: GatewayFleet) -> float:
         pid, load = (
             gateway_pid(fleet_under_test, MEMBER),
-            Load(fleet_under_test.ports[MEMBER], rate, QUERY_MIX, seed),
+            LoadGenerator(fleet_under_test.ports[MEMBER], rate, QUERY_MIX, seed),
         )
         before = cpu_us(pid)
         await load.run(seconds)
         load.close()
-        assert load.ends["served"] > 0.98 * load.asked, load.ends
-        return (cpu_us(pid) - before) / load.asked
+        assert load.outcomes["served"] > 0.98 * load.queries_sent, load.outcomes
+        return (cpu_us(pid) - before) / load.queries_sent
 
     return list(await asyncio.gather(*(run_side(fleet_under_test) for fleet_under_test in fleets)))
 
--- a/benchmarks/fleetfaults.py
+++ b/benchmarks/fleetfaults.py
@@ -25,7 +25,7 @@
 
 from whintrail.cli.output import print_rows
 from whintrail.control.json_lines import ControlError, send_request
-from whintrail.standins.peers import Fleet, fleet, lossy, sound, split
+from whintrail.standins.gateway_fleet import GatewayFleet, deliver_once, fleet, lossy, partition
 from whintrail.standins.scripted import Engine, query
 
 GATEWAYS = 6
@@ -75,7 +75,7 @@
 class FaultRun:
     """One seed: supervisors, load and faults against a fleet."""
 
-    def __init__(self, processes: Fleet, folder: Path, seed: int, seconds: float) -> None:
+    def __init__(self, processes: GatewayFleet, folder: Path, seed: int, seconds: float) -> None:
         self.processes, self.folder, self.random = processes, folder, Random(seed)
         self.auditor, self.ends_at = OutageAuditor(), time.monotonic() + seconds
         # Of each gateway, held while it is restarted.
@@ -94,7 +94,7 @@
         end = time.monotonic() + 15
         while time.monotonic() < end:
             with suppress(OSError, AssertionError):
-                if self.processes.ready(number):
+                if self.processes.is_ready(number):
                     self.auditor.record_return(number)
                     return
             time.sleep(0.02)
@@ -130,7 +130,7 @@
                 for _ in range(30):
                     answer = session.ask(query())
                     self.answers["served" if answer.rows else answer.sqlstate or "closed"] += 1
-                    if not answer.status:
+                    if not answer.transaction_status:
                         break
                     time.sleep(0.02)
             session.close()
@@ -141,12 +141,12 @@
         while not self.is_over:
             kind = random.random()
             if kind < 0.3:
-                relay.fault = lossy(random.choice([0.05, 0.33]), most_s=0.05, doubled=0.1)
+                relay.fault = lossy(random.choice([0.05, 0.33]), max_delay_s=0.05, duplicate_share=0.1)
             elif kind < 0.45:
                 one_side = set(random.sample(range(GATEWAYS), random.randrange(1, 4)))
-                relay.fault = split(one_side, set(range(GATEWAYS)) - one_side)
+                relay.fault = partition(one_side, set(range(GATEWAYS)) - one_side)
             else:
-                relay.fault = sound
+                relay.fault = deliver_once
             victims = range(VOTERS) if random.random() < 0.08 else [random.randrange(GATEWAYS)]
             action = random.choice(["kill", "stop", "starve", "nothing"])
             for number in victims:
@@ -169,7 +169,7 @@
                     self.auditor.counts["starved"] += 1
                     threading.Thread(target=self.throttle, args=(gateway.process, 3.0)).start()
             time.sleep(0.5 + random.random() * 2)
-        relay.fault = sound
+        relay.fault = deliver_once
 
     @staticmethod
     def throttle(process: "subprocess.Popen[bytes]", seconds: float) -> None:
@@ -220,7 +220,7 @@
             run = FaultRun(processes, folder, seed, seconds)
             run.run()
             auditor = run.auditor
-            texts = [gateway.text() for gateway in processes.gateways]
+            texts = [gateway.log_text() for gateway in processes.gateways]
             faults = sum(text.count("faults=") + text.count("Traceback") for text in texts)
             return {
                 "seed": seed,
--- a/benchmarks/fleetrelease.py
+++ b/benchmarks/fleetrelease.py
@@ -21,7 +21,7 @@
 from benchmarks.fleetcost import gateway_pid
 from whintrail.cli.output import print_rows
 from whintrail.control.json_lines import ControlError, send_request
-from whintrail.standins.peers import Fleet, fleet
+from whintrail.standins.gateway_fleet import GatewayFleet, fleet
 from whintrail.standins.scripted import Engine, query, wait_for
 
 QUERY_KINDS = ("lookup", "lookup", "lookup", "report", "once")
@@ -30,7 +30,7 @@
 class ClientPool:
     """Clients that run until `stop_and_join`."""
 
-    def __init__(self, processes: Fleet, clients: int) -> None:
+    def __init__(self, processes: GatewayFleet, clients: int) -> None:
         self.processes, self.outcomes = processes, Counter[str]()
         self.loads: set[str] = set()
         self.unanswered: set[str] = set()  # ids of requests whose connection ended without an answer
@@ -59,7 +59,7 @@
                     self.outcomes["asked"] += 1
                     self.unanswered.add(request_id)
                     answer = session.ask(text)
-                    if not answer.status:
+                    if not answer.transaction_status:
                         break
                     self.unanswered.discard(request_id)
                     if answer.rows:
@@ -74,14 +74,14 @@
             thread.join(20)
 
 
-def restart(processes: Fleet, number: int, build: str) -> None:
+def restart(processes: GatewayFleet, number: int, build: str) -> None:
     """Waits for the end of a gateway and starts it on a build."""
     processes.gateways[number].process.wait(15)
     processes.gateways[number] = processes.start(number, build)
-    wait_for(lambda: processes.ready(number))
+    wait_for(lambda: processes.is_ready(number))
 
 
-def run_coordinated_release(processes: Fleet, folder: str) -> None:
+def run_coordinated_release(processes: GatewayFleet, folder: str) -> None:
     """Restarts all gateways by supervisors that request slots, as a release."""
     request = {"what": "release", "build": "new", "steps": (0.1, 0.5, 1.0), "wait_s": 5}
     row = next(send_request(f"{folder}/s0", request, 10))
@@ -109,7 +109,7 @@
     wait_for(is_over, 60)
 
 
-def run_uncoordinated_release(processes: Fleet) -> None:
+def run_uncoordinated_release(processes: GatewayFleet) -> None:
     """Restarts all gateways by four scripts, each of which restarts a quarter of them one after another."""
 
     def script(first: int) -> None:
@@ -153,7 +153,7 @@
                 for second in range(max(1, int(ended_at - started_at)))
             )
             runs_by_id = Counter(
-                run.id for engine in engines for run in engine.done if run.id in client_pool.loads
+                run.id for engine in engines for run in engine.queries if run.id in client_pool.loads
             )
             assert all(gateway_pid(processes, n) for n in range(size))
             return {
@@ -166,7 +166,7 @@
                 "run twice": sum(times > 1 for times in runs_by_id.values()),
                 "unanswered": len(client_pool.unanswered),
                 "unanswered that ran": len(
-                    {run.id for engine in engines for run in engine.done} & client_pool.unanswered
+                    {run.id for engine in engines for run in engine.queries} & client_pool.unanswered
                 ),
                 "ends": dict(client_pool.outcomes),
             }
--- a/benchmarks/injected_faults.py
+++ b/benchmarks/injected_faults.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from whintrail.standins.fleet import Fault, Fleet
-from whintrail.standins.load import Load, until_serves
+from whintrail.standins.engine_fleet import EngineFleet, Fault
+from whintrail.standins.load_generator import LoadGenerator, wait_until_serving
 from whintrail.timeline.events import Detection, Verdict
 from whintrail.timeline.store import Reader
 
@@ -46,7 +46,7 @@
 
     `scenario`: begin, length, engine, kind of fault, its value; `surge`: begin, length, factor of the rate.
     """
-    fleet = Fleet(engines, cores=16, seed=seed)
+    fleet = EngineFleet(engines, cores=16, seed=seed)
     with FreePort() as port:
         config = fleet.config(f"127.0.0.1:{port}")
     (folder / "config.json").write_text(json.dumps(config))
@@ -64,28 +64,28 @@
             sys.executable, "-m", "whintrail", env=environment, stderr=log
         )
     try:
-        await until_serves(port)
-        load = Load(port, rate, QUERY_MIX, seed)
+        await wait_until_serving(port)
+        load = LoadGenerator(port, rate, QUERY_MIX, seed)
         tasks = [asyncio.create_task(load.run(seconds))]
         for begin, length, index, what, value in scenario:
             tasks.append(asyncio.create_task(inject(fleet, begin, length, index, what, value)))
         surge_load = None
         if surge is not None:
-            surge_load = Load(port, rate * (surge[2] - 1), QUERY_MIX, seed + 1)
+            surge_load = LoadGenerator(port, rate * (surge[2] - 1), QUERY_MIX, seed + 1)
             tasks.append(asyncio.create_task(run_later(surge[0], surge_load.run(surge[1]))))
         await asyncio.gather(*tasks)
         load.close()
         if surge_load is not None:
             surge_load.close()
-            load.ends.update(surge_load.ends)
-            load.asked += surge_load.asked
+            load.outcomes.update(surge_load.outcomes)
+            load.queries_sent += surge_load.queries_sent
     finally:
         process.send_signal(signal.SIGTERM)
         await process.wait()
         await fleet.close()
     with Reader.open(folder / "store") as reader:
         detections = list(reader.detections())
-    return ScenarioResult(fleet.log, detections, dict(load.ends), load.asked)
+    return ScenarioResult(fleet.fault_log, detections, dict(load.outcomes), load.queries_sent)
 
 
 class FreePort:
@@ -107,11 +107,13 @@
     await work  # type: ignore[misc]
 
 
-async def inject(fleet: Fleet, begin: float, length: float, index: int, kind: str, value: float) -> None:
+async def inject(
+    fleet: EngineFleet, begin: float, length: float, index: int, kind: str, value: float
+) -> None:
     await asyncio.sleep(begin)
-    fault = fleet.begin(index, kind, value)
+    fault = fleet.inject_fault(index, kind, value)
     await asyncio.sleep(length)
-    fleet.end(fault)
+    fleet.clear_fault(fault)
 
 
 @dataclass(slots=True)
@@ -132,8 +134,8 @@
                 for detection in remaining
                 if detection.engine == fault.engine
                 and detection.begins
-                and detection.verdict is VERDICT_OF_FAULT[fault.what]
-                and fault.begin - 1 <= detection.at_us / 1e6 <= fault.end + 1
+                and detection.verdict is VERDICT_OF_FAULT[fault.kind]
+                and fault.started_at - 1 <= detection.at_us / 1e6 <= fault.ended_at + 1
             ),
             None,
         )
@@ -151,9 +153,9 @@
         matches.append(
             FaultMatch(
                 fault,
-                begin.at_us / 1e6 - fault.begin if begin else None,
-                begin.since_us / 1e6 - fault.begin if begin else None,
-                end.since_us / 1e6 - fault.end if end else None,
+                begin.at_us / 1e6 - fault.started_at if begin else None,
+                begin.since_us / 1e6 - fault.started_at if begin else None,
+                end.since_us / 1e6 - fault.ended_at if end else None,
             )
         )
         # Other detections on an engine with a fault are not false.
@@ -162,7 +164,7 @@
             for detection in remaining
             if not (
                 detection.engine == fault.engine
-                and fault.begin - 1 <= detection.at_us / 1e6 <= fault.end + 12
+                and fault.started_at - 1 <= detection.at_us / 1e6 <= fault.ended_at + 12
             )
         ]
     return matches, [detection for detection in remaining if detection.begins]
@@ -191,7 +193,7 @@
                 f"{format_seconds(match.flagged_s)}          {format_seconds(match.begin_error_s)}"
                 f"          {format_seconds(match.end_error_s)}"
             )
-            print(f"  {match.fault.what:8} {errors}")
+            print(f"  {match.fault.kind:8} {errors}")
         print(
             f"  false events: {len(false_detections)}"
             f" {[detection.describe() for detection in false_detections]}"
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -9,7 +9,7 @@
 
 import click
 
-from whintrail.standins.parts import play
+from whintrail.standins.subset_audit import run_scenario
 
 
 @click.command()
@@ -20,12 +20,14 @@
 def main(seeds: int, first: int, seconds: float, jobs: int) -> None:
     numbers, bad, got = range(first, first + seeds), 0, 0
     with ProcessPoolExecutor(jobs) as pool:
-        for seed, audit in zip(numbers, pool.map(partial(play, seconds=seconds), numbers), strict=True):
-            bad, got = bad + (not audit.sound), got + audit.got
+        for seed, audit in zip(
+            numbers, pool.map(partial(run_scenario, seconds=seconds), numbers), strict=True
+        ):
+            bad, got = bad + (not audit.passed), got + audit.queries_received
             click.echo(
-                f"seed {seed}: asked {audit.asked}, got {audit.got}, from others {audit.strange[:5]}, "
-                f"after the drain {audit.drained[:5]}, unanswered {audit.unanswered}, idle {audit.idle}, "
-                f"{dict(audit.ends)}"
+                f"seed {seed}: asked {audit.queries_sent}, got {audit.queries_received}, from others {audit.outside_subset[:5]}, "
+                f"after the drain {audit.after_drain[:5]}, unanswered {audit.unanswered}, idle {audit.unreached}, "
+                f"{dict(audit.outcomes)}"
             )
     click.echo(f"{seeds} seeds, {got} queries at the engines, {bad} with a broken promise")
     sys.exit(1 if bad else 0)
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -15,49 +15,57 @@
 
 from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.wire import VersionRequest
-from whintrail.scale.results import Sample, sample, save, this_machine
-from whintrail.standins.simulated import World, sound
+from whintrail.scale.results import Sample, current_machine, sample, save_results
+from whintrail.standins.fleet_simulation import FleetSimulation, deliver_once
 from whintrail.versions.member import VersionTiming
 from whintrail.versions.rules import Rules
 
-REGIONS, COUNCIL, CHANGES = 9, (0, 1, 2, 3, 4), 2
-DAYS = ("two apart", "one alone")
+REGIONS, COUNCIL, VERSION_CHANGES = 9, (0, 1, 2, 3, 4), 2
+SCENARIOS = ("two apart", "one alone")
 
 
-def cut(day: str, leads: int, other: int, origin: int, target: int, random: Random) -> list[float]:
+def cut_link(
+    scenario: str, leader_region: int, other_region: int, origin: int, target: int, random: Random
+) -> list[float]:
     a, b = origin % REGIONS, target % REGIONS
-    parted = {a, b} == {leads, other} if day == "two apart" else (a == other) != (b == other)
+    parted = (
+        {a, b} == {leader_region, other_region}
+        if scenario == "two apart"
+        else (a == other_region) != (b == other_region)
+    )
     return [] if parted else [0.0]
 
 
-def of(count: int, number: int, build: str) -> FleetConfig:
+def config_for(count: int, number: int, build: str) -> FleetConfig:
     rates = {"messages_per_s": 1500.0, "bytes_per_s": 400_000.0}
     return FleetConfig("f", number, count, COUNCIL, versions=VersionTiming(), **rates)  # type: ignore[arg-type]
 
 
-def leased(world: World, number: int) -> bool:
+def has_lease(world: FleetSimulation, number: int) -> bool:
     settings = world.node(number).settings
     assert settings is not None
     return settings.member.lease.active_version(world.clock(number)).leased
 
 
-def whole(world: World) -> bool:
+def has_converged(world: FleetSimulation) -> bool:
     newest = world.state().versions.number
-    return all(world.node(n).state.versions.number == newest and leased(world, n) for n in world.up())
+    return all(
+        world.node(n).state.versions.number == newest and has_lease(world, n) for n in world.running_numbers()
+    )
 
 
-def play(count: int, day: str, seed: int) -> dict[str, float]:
-    world = World(partial(of, count), count, seed, drift=0.01)
+def run_scenario(count: int, scenario: str, seed: int) -> dict[str, float]:
+    world = FleetSimulation(partial(config_for, count), count, seed, drift=0.01)
     world.run(10, lambda: world.leader() is not None)
     world.run(4)
     leader = world.leader()
     assert leader is not None
     other = REGIONS - 1  # of no council member
-    world.fault = partial(cut, day, leader % REGIONS, other)
+    world.fault = partial(cut_link, scenario, leader % REGIONS, other)
     world.run(30)
     asker = next(n for n in range(count) if n % REGIONS not in (leader % REGIONS, other))
     before, node = world.state().versions.number, world.node(asker)
-    for turn in range(CHANGES):
+    for turn in range(VERSION_CHANGES):
         assert node.settings is not None
         digest = node.settings.member.store_rules(Rules(caps={"report": turn + 5}))
         node.submit(
@@ -65,11 +73,11 @@
         )
         world.run(15)
     there = [n for n in range(count) if n % REGIONS == other]
-    settled, held = world.state().versions.number - before, sum(leased(world, n) for n in there)
-    world.fault, at = sound, world.now
-    back = world.run(30, lambda: whole(world))
+    settled, held = world.state().versions.number - before, sum(has_lease(world, n) for n in there)
+    world.fault, at = deliver_once, world.now
+    back = world.run(30, lambda: has_converged(world))
     return {
-        "apart_asked": CHANGES,
+        "apart_asked": VERSION_CHANGES,
         "apart_settled": settled,
         "apart_gateways": len(there),
         "apart_leased": held,
@@ -82,9 +90,9 @@
 @click.option("--seeds", default=4, show_default=True)
 @click.option("--to", type=click.Path(path_type=Path), help="Write a file of results.")
 def main(gateways: int, seeds: int, to: Path | None) -> None:
-    began, machine, found = time.time(), this_machine(), list[Sample]()
-    for day in DAYS:
-        rows = [play(gateways, day, seed) for seed in range(1, seeds + 1)]
+    began, machine, found = time.time(), current_machine(), list[Sample]()
+    for day in SCENARIOS:
+        rows = [run_scenario(gateways, day, seed) for seed in range(1, seeds + 1)]
         for name in rows[0]:
             unit = "s" if name.endswith("_s") else "count"
             made = sample(name, unit, (gateways, 0), [row[name] for row in rows], "simulated")
@@ -92,7 +100,7 @@
             found.append(Sample(**{f: getattr(made, f) for f in made.__struct_fields__} | {"day": day}))
     if to is not None:
         command = f"python -m benchmarks.regions --gateways {gateways} --seeds {seeds} --to {to}"
-        save(to, command, began, machine, found, "nine regions; the council in five of them")
+        save_results(to, command, began, machine, found, "nine regions; the council in five of them")
 
 
 if __name__ == "__main__":
--- a/benchmarks/resident.py
+++ b/benchmarks/resident.py
@@ -11,7 +11,7 @@
 from time import perf_counter
 
 from benchmarks.cost import QUERY_MIX, GatewayUnderLoad, resident_mb
-from whintrail.standins.load import Load
+from whintrail.standins.load_generator import LoadGenerator
 
 
 async def run(rate: float, seconds: float) -> None:
@@ -19,13 +19,13 @@
         gateway = GatewayUnderLoad(Path(name) / "off", 8, None)
         await gateway.start()
         idle = resident_mb(gateway.process.pid)
-        load, started = Load(gateway.port, rate, QUERY_MIX, 1), perf_counter()
+        load, started = LoadGenerator(gateway.port, rate, QUERY_MIX, 1), perf_counter()
         await load.run(seconds)
-        requests_per_s = load.asked / (perf_counter() - started)
+        requests_per_s = load.queries_sent / (perf_counter() - started)
         loaded = resident_mb(gateway.process.pid)
         load.close()
         await gateway.stop()
-    print(f"{requests_per_s:.0f} requests/s, {dict(load.ends)}: {idle:.1f} to {loaded:.1f} MB")
+    print(f"{requests_per_s:.0f} requests/s, {dict(load.outcomes)}: {idle:.1f} to {loaded:.1f} MB")
 
 
 def main() -> None:
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -18,19 +18,19 @@
 from whintrail.cli.output import print_rows
 from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.wire import VersionRequest
-from whintrail.standins.rules import RuleAuditor
-from whintrail.standins.simulated import World, sound
+from whintrail.standins.fleet_simulation import FleetSimulation, deliver_once
+from whintrail.standins.rule_audit import RuleAuditor
 from whintrail.versions.member import VersionTiming
 from whintrail.versions.rules import Rules, canonicalize
 
 TIMING = VersionTiming()
 
 
-def in_force(world: World, rules: Rules) -> bool:
-    for number in world.up():
+def in_force(world: FleetSimulation, rules: Rules) -> bool:
+    for number in world.running_numbers():
         process, service = world.processes[number], world.node(number).settings
         assert service is not None and process is not None
-        if world.now < process.stopped_until:
+        if world.now < process.paused_until:
             continue
         active = service.member.lease.active_version(world.clock(number))
         if not active.leased or active.rules != canonicalize(rules) or service.committed.next is not None:
@@ -42,7 +42,7 @@
     return [] if (origin % 4 == zone) != (target % 4 == zone) else [0.0]
 
 
-def restart(world: World, number: int) -> None:
+def restart(world: FleetSimulation, number: int) -> None:
     world.start(number)
 
 
@@ -53,7 +53,7 @@
         limits = {"versions": TIMING, "messages_per_s": 1500.0, "bytes_per_s": 400_000.0}
         return FleetConfig("f", number, count, (0, 1, 2, 3, 4), **limits)  # type: ignore[arg-type]
 
-    world = World(make_node, count, seed, drift=0.01)
+    world = FleetSimulation(make_node, count, seed, drift=0.01)
     world.run(10, lambda: world.leader() is not None)
     world.run(4)
     auditor = RuleAuditor(world)
@@ -61,18 +61,20 @@
     sent, started_at = sum(world.sent_bytes.values()), world.now
     took: list[float] = []
     for step in range(2):
-        world.fault = (lambda a, b, r: [] if r.random() < loss else [r.random() * 0.01]) if loss else sound
+        world.fault = (
+            (lambda a, b, r: [] if r.random() < loss else [r.random() * 0.01]) if loss else deliver_once
+        )
         if faults:
             zone = random.randrange(4)
             if random.random() < 0.4:
                 world.fault = partial(isolate_zone, zone)
             for _ in range(4):
-                world.stop(random.randrange(count), random.choice([1.0, 3.0, 10.0]))
+                world.pause(random.randrange(count), random.choice([1.0, 3.0, 10.0]))
             victim = random.choice([random.randrange(5), random.randrange(count)])
             world.kill(victim)
-            world.at(world.now + 1_500_000, partial(restart, world, victim))
+            world.schedule(world.now + 1_500_000, partial(restart, world, victim))
         rules = Rules(caps={"report": step + 5}, homes={"7": step}, shut=(f"e{step}",))
-        gateway = random.choice(world.up())
+        gateway = random.choice(world.running_numbers())
         node = world.node(gateway)
         assert node.settings is not None
         request = VersionRequest(node.state.versions.number + 1, node.settings.member.store_rules(rules), "")
@@ -80,11 +82,11 @@
         node.submit(world.clock(gateway), request, 20, True)
         if world.run(25, lambda rules=rules: in_force(world, rules)):  # type: ignore[misc]
             took.append((world.now - proposed_at) / 1e6)
-        world.fault = sound
+        world.fault = deliver_once
         world.run(6 if faults else 2)
     bytes_per_s = (sum(world.sent_bytes.values()) - sent) / count / ((world.now - started_at) / 1e6)
     return {
-        "apart_s": auditor.longest_us / 1e6,
+        "apart_s": auditor.longest_divergence_us / 1e6,
         "unleased_s": auditor.unleased_us / 1e6 / count,
         "took": took,
         "missed": 2 - len(took),
--- a/tests/test_class_names.py
+++ b/tests/test_class_names.py
@@ -9,7 +9,7 @@
 
 from whintrail.gateway import engine_protocol
 from whintrail.gateway.statement import read_statement
-from whintrail.standins.scripted import PATIENCE_S, Gateway, settings
+from whintrail.standins.scripted import WAIT_TIMEOUT_S, Gateway, settings
 
 CALL_ID = b"9b1f03aa5c7e2d41"
 UNSAFE_NAMES = [
@@ -89,6 +89,6 @@
     document = settings()
     document["Classes"][1]["Name"] = name
     gateway = Gateway({"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": document}, tmp_path)
-    assert gateway.process.wait(PATIENCE_S) == 1
-    (line,) = gateway.text().splitlines()
+    assert gateway.process.wait(WAIT_TIMEOUT_S) == 1
+    (line,) = gateway.log_text().splitlines()
     assert f"ValueError: class {name!r}".replace("\\", "") in line.replace("\\", "")
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,8 +7,8 @@
 from whintrail.fleet.consensus import Consensus, Role
 from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.wire import RecoveryReply, ReleaseRequest, SlotRequest, VoteRequest
-from whintrail.standins.explore import Budget, explore, settled
-from whintrail.standins.simulated import Fault, World, sound
+from whintrail.standins.consensus_model import Budget, explore, stable_cluster
+from whintrail.standins.fleet_simulation import Fault, FleetSimulation, deliver_once
 
 
 class SkipsRecovery(Consensus):
@@ -51,25 +51,36 @@
 @pytest.mark.parametrize(
     ("kind", "budget"),
     [
-        (SkipsRecovery, Budget(votes=2, forgets=1, changes=0, asks=0)),
-        (SkipsRecovery, Budget(votes=1, forgets=1, changes=1, asks=0)),
-        (RecoversFromFirstReply, Budget(votes=1, forgets=1, changes=1, asks=0)),
-        (IgnoresCandidateLog, Budget(votes=1, forgets=0, changes=1, asks=0)),
-        (VotesTwice, Budget(votes=2, forgets=0, changes=0, asks=0, doubts=1)),
+        (SkipsRecovery, Budget(elections=2, restarts=1, proposals=0, recovery_retries=0)),
+        (SkipsRecovery, Budget(elections=1, restarts=1, proposals=1, recovery_retries=0)),
+        (RecoversFromFirstReply, Budget(elections=1, restarts=1, proposals=1, recovery_retries=0)),
+        (IgnoresCandidateLog, Budget(elections=1, restarts=0, proposals=1, recovery_retries=0)),
+        (VotesTwice, Budget(elections=2, restarts=0, proposals=0, recovery_retries=0, step_downs=1)),
     ],
 )
 def test_broken_consensus_variants_are_detected(kind: type[Consensus], budget: Budget) -> None:
-    result = explore(settled(3, kind), budget, 60_000, deep=True)
-    assert result.wrong, result
+    result = explore(stable_cluster(3, kind), budget, 60_000, depth_first=True)
+    assert result.violation, result
 
 
 def test_no_event_order_breaks_consensus() -> None:
-    result = explore(settled(3), Budget(votes=1, forgets=0, changes=1, asks=0), 60_000)
-    assert result.complete and not result.wrong, result
-    result = explore(settled(3), Budget(votes=2, forgets=0, changes=0, asks=0, doubts=1), 60_000)
-    assert result.complete and not result.wrong, result
-    result = explore(settled(3), Budget(votes=1, forgets=1, changes=1, asks=0), 25_000, deep=True)
-    assert not result.wrong, result
+    result = explore(
+        stable_cluster(3), Budget(elections=1, restarts=0, proposals=1, recovery_retries=0), 60_000
+    )
+    assert result.complete and not result.violation, result
+    result = explore(
+        stable_cluster(3),
+        Budget(elections=2, restarts=0, proposals=0, recovery_retries=0, step_downs=1),
+        60_000,
+    )
+    assert result.complete and not result.violation, result
+    result = explore(
+        stable_cluster(3),
+        Budget(elections=1, restarts=1, proposals=1, recovery_retries=0),
+        25_000,
+        depth_first=True,
+    )
+    assert not result.violation, result
 
 
 # --- In simulated time.
@@ -80,14 +91,14 @@
 
 
 def test_cold_start_elects_leader_after_quarantine() -> None:
-    world = World(fleet_config, 5, 1)
+    world = FleetSimulation(fleet_config, 5, 1)
     assert world.run(3.9, lambda: world.leader() is not None) is False
     assert world.run(1.5, lambda: world.leader() is not None)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_new_leader_keeps_committed_state_after_leader_crash(seed: int) -> None:
-    world = World(fleet_config, 5, seed)
+    world = FleetSimulation(fleet_config, 5, seed)
     world.run(6, lambda: world.leader() is not None)
     world.node(4).submit(world.clock(4), ReleaseRequest("b2", (1000,), ""), 5, True)
     assert world.run(3, lambda: world.state().release is not None)
@@ -109,7 +120,7 @@
 
 
 def test_leaving_leader_hands_over_before_exit() -> None:
-    world = World(fleet_config, 5, 11)
+    world = FleetSimulation(fleet_config, 5, 11)
     world.run(6, lambda: world.leader() is not None)
     leader = world.leader()
     assert leader is not None
@@ -120,7 +131,7 @@
 
 
 def test_rolling_restart_of_voters_loses_nothing() -> None:
-    world = World(fleet_config, 5, 7)
+    world = FleetSimulation(fleet_config, 5, 7)
     world.run(6, lambda: world.leader() is not None)
     world.node(4).submit(world.clock(4), ReleaseRequest("b2", (1000,), ""), 5, True)
     assert world.run(3, lambda: world.node(3).state.release is not None)
@@ -136,7 +147,7 @@
 
 
 def test_simultaneous_voter_restart_recovers_from_other_gateways() -> None:
-    world = World(fleet_config, 5, 8)
+    world = FleetSimulation(fleet_config, 5, 8)
     world.run(6, lambda: world.leader() is not None)
     world.node(4).submit(world.clock(4), ReleaseRequest("b2", (1000,), ""), 5, True)
     assert world.run(3, lambda: world.node(3).state.release is not None)
@@ -151,7 +162,7 @@
 
 
 def test_partition_two_to_one_and_three_way() -> None:
-    world = World(fleet_config, 5, 9)
+    world = FleetSimulation(fleet_config, 5, 9)
     world.run(6, lambda: world.leader() is not None)
     leader = world.leader()
     assert leader is not None
@@ -169,7 +180,7 @@
 
 
 def test_leader_stays_stable_under_33_percent_loss() -> None:
-    world = World(fleet_config, 5, 10)
+    world = FleetSimulation(fleet_config, 5, 10)
     world.fault = lambda a, b, random: [] if random.random() < 0.33 else [random.random() * 0.05]
     assert world.run(12, lambda: world.leader() is not None)
     first_term = world.node(0).known_leader[1]
@@ -178,7 +189,7 @@
 
 
 def test_single_voter() -> None:
-    world = World(lambda n, b: fleet_config(n, b, 3, 1), 3, 1)
+    world = FleetSimulation(lambda n, b: fleet_config(n, b, 3, 1), 3, 1)
     assert world.run(6, lambda: world.leader() == 0)
 
 
@@ -193,7 +204,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_random_faults_never_diverge_replicas(seed: int) -> None:
     random = Random(seed)
-    world = World(lambda n, b: fleet_config(n, b, 5, 5), 5, seed, drift=0.01)
+    world = FleetSimulation(lambda n, b: fleet_config(n, b, 5, 5), 5, seed, drift=0.01)
     world.run(6, lambda: world.leader() is not None)
     for _ in range(25):
         world.fault = isolate_and_drop(
@@ -205,12 +216,12 @@
                 world.kill(victim)
                 world.start(victim)
             case 1:
-                world.stop(victim, random.random() * 4)
-        number = random.choice(world.up())
+                world.pause(victim, random.random() * 4)
+        number = random.choice(world.running_numbers())
         world.node(number).submit(world.clock(number), SlotRequest(world.node(number).boot_id, ""), 2, False)
         world.run(random.random() * 3)
     assert all(world.node(n).replica.divergences == 0 for n in range(5))
-    world.fault = sound
+    world.fault = deliver_once
     assert world.run(20, lambda: world.leader() is not None)
     assert world.run(5, lambda: len({world.node(n).replica.position for n in range(5)}) == 1)
     assert len({world.node(n).replica.digest for n in range(5)}) == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
 from whintrail.standins.scripted import Client, query
 
 
-class Door:
+class SessionHarness:
     """The sessions alone, behind a real listener; what they ask for is in the inbox."""
 
     def __init__(self, **limits: Any) -> None:
@@ -34,46 +34,46 @@
         self.sessions.listen(("127.0.0.1", 0))
         assert self.sessions.listener is not None
         self.port: int = self.sessions.listener.getsockname()[1]
-        self.opened: list[socket.socket] = []
-        self.accepting = asyncio.create_task(self.sessions.accept())
-        self.watching = asyncio.create_task(self.sessions.expire_sessions())
+        self.client_sockets: list[socket.socket] = []
+        self.accept_task = asyncio.create_task(self.sessions.accept())
+        self.expiry_task = asyncio.create_task(self.sessions.expire_sessions())
 
-    def connect(self, first: bytes = b"") -> socket.socket:
+    def connect(self, data: bytes = b"") -> socket.socket:
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=5)
-        sock.sendall(first)
-        self.opened.append(sock)
+        sock.sendall(data)
+        self.client_sockets.append(sock)
         return sock
 
-    async def started(self) -> tuple[socket.socket, int, int]:
+    async def connect_client(self) -> tuple[socket.socket, int, int]:
         """A client that has its greeting, and its key."""
-        sock = self.connect(Client.startup())
+        sock = self.connect(Client.startup_message())
         data = b""
         while not data.endswith(b"Z\0\0\0\5I"):
             data += await asyncio.to_thread(sock.recv, 4096)
         at = data.index(b"K\0\0\0\x0c") + 5
         return sock, int.from_bytes(data[at : at + 4], "big"), int.from_bytes(data[at + 4 : at + 8], "big")
 
-    def heard(self, kind: type) -> list[Query]:
+    def received(self, kind: type) -> list[Query]:
         return [item.query for _, item in self.inbox.queue if isinstance(item, kind)]  # type: ignore[union-attr]
 
-    async def until(self, what: Callable[[], Any]) -> None:
+    async def wait_until(self, condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(5):
-            while not what():
+            while not condition():
                 await asyncio.sleep(0.005)
 
 
-def play(story: Callable[[Door], Awaitable[None]], **limits: Any) -> None:
+def run_with_sessions(scenario: Callable[[SessionHarness], Awaitable[None]], **limits: Any) -> None:
     async def run() -> None:
-        door = Door(**limits)
+        door = SessionHarness(**limits)
         try:
-            await asyncio.wait_for(story(door), 10)
+            await asyncio.wait_for(scenario(door), 10)
         finally:
-            door.accepting.cancel()
-            door.watching.cancel()
-            await asyncio.gather(door.accepting, door.watching, return_exceptions=True)
+            door.accept_task.cancel()
+            door.expiry_task.cancel()
+            await asyncio.gather(door.accept_task, door.expiry_task, return_exceptions=True)
             await door.sessions.close()
             door.sessions.close_listener()
-            for sock in door.opened:
+            for sock in door.client_sockets:
                 sock.close()
 
     asyncio.run(run())
@@ -89,23 +89,23 @@
 
 
 def test_a_request_that_arrived_before_the_end_of_its_session_wins() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(query()))
+        sock.sendall(Client.simple_query(query()))
         time.sleep(0.02)  # in the kernel; no task has had its turn
         assert not session.close_if_idle()
-        await door.until(lambda: door.heard(QueryReceived))
+        await door.wait_until(lambda: door.received(QueryReceived))
         assert not session.close_if_idle() and not session.ended
 
-    play(story)
+    run_with_sessions(story)
 
 
 def test_bytes_read_by_the_loop_but_not_handed_over_win_too() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        text, loop, parted = Client.simple(query()), asyncio.get_running_loop(), list[bool]()
+        text, loop, parted = Client.simple_query(query()), asyncio.get_running_loop(), list[bool]()
 
         def before_the_task() -> None:
             # The bytes have left the kernel, the reader's task is still to run: what a recv does to the view.
@@ -120,144 +120,144 @@
         await asyncio.sleep(0)
         assert parted == [False] and not session.ended
         sock.sendall(text)
-        await door.until(lambda: door.heard(QueryReceived))
+        await door.wait_until(lambda: door.received(QueryReceived))
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_a_request_behind_our_end_is_read_off_and_never_taken() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_a_request_after_our_shutdown_is_drained_and_never_taken() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
         assert session.close_if_idle()
-        sock.sendall(Client.simple(query()))  # crosses the end
+        sock.sendall(Client.simple_query(query()))  # crosses the end
         assert await asyncio.to_thread(sock.recv, 10) == b""  # an end, no reset: what came before is safe
         await asyncio.sleep(0.05)
-        assert not door.heard(QueryReceived) and process in door.sessions.sessions
+        assert not door.received(QueryReceived) and process in door.sessions.sessions
         sock.close()
-        await door.until(lambda: not door.sessions.sessions)
+        await door.wait_until(lambda: not door.sessions.sessions)
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_an_answer_is_read_whole_though_bytes_cross_the_close() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_a_full_answer_is_read_although_bytes_cross_the_close() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(";"))
-        await door.until(
+        sock.sendall(Client.simple_query(";"))
+        await door.wait_until(
             lambda: door.sessions.idle_since.get(session) is not None and session.connection.all_sent
         )
         await asyncio.sleep(0.02)
         assert session.close_if_idle()
-        sock.sendall(Client.simple(query()) * 50)
+        sock.sendall(Client.simple_query(query()) * 50)
         await asyncio.sleep(0.05)
         data = b""
         while part := await asyncio.to_thread(sock.recv, 4096):
             data += part
         assert data == b"I\0\0\0\4Z\0\0\0\5I"
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_a_client_that_never_closes_is_closed_in_the_end() -> None:
-    async def story(door: Door) -> None:
-        await door.started()
+def test_a_client_that_never_closes_is_closed_after_the_linger_time() -> None:
+    async def story(door: SessionHarness) -> None:
+        await door.connect_client()
         assert not door.sessions.close_idle()
-        await door.until(door.sessions.close_idle)
+        await door.wait_until(door.sessions.close_idle)
         assert door.counters["sessions", "lingered"] == 1
 
-    play(story, linger_s=0.1, watch_s=0.02)
+    run_with_sessions(story, linger_s=0.1, watch_s=0.02)
 
 
-def test_nothing_is_taken_once_a_session_is_left() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_nothing_is_taken_after_the_client_departed() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(query()))
-        await door.until(lambda: door.heard(QueryReceived))
+        sock.sendall(Client.simple_query(query()))
+        await door.wait_until(lambda: door.received(QueryReceived))
         session.connection.buffer.receive_space()[: len(ahead)] = ahead  # the next is there already
         session.connection.buffer.commit(len(ahead))
         session._detach_client()
         session._continue_processing()  # what was put off to a later turn
         session._on_all_sent()
-        assert len(door.heard(QueryReceived)) == 1 and len(door.heard(ClientDeparted)) == 1
+        assert len(door.received(QueryReceived)) == 1 and len(door.received(ClientDeparted)) == 1
 
-    ahead = Client.simple(query())
-    play(story)
+    ahead = Client.simple_query(query())
+    run_with_sessions(story)
 
 
 def test_a_connection_accepted_in_the_turn_of_the_stop_is_served() -> None:
-    async def story(door: Door) -> None:
+    async def story(door: SessionHarness) -> None:
         for _ in range(3):
-            door.connect(Client.startup() + Client.simple(";"))
+            door.connect(Client.startup_message() + Client.simple_query(";"))
         door.sessions.stop_accepting()
-        await asyncio.wait([door.accepting], timeout=1)
-        assert door.accepting.done() and not door.accepting.cancelled()
-        for sock in door.opened:
+        await asyncio.wait([door.accept_task], timeout=1)
+        assert door.accept_task.done() and not door.accept_task.cancelled()
+        for sock in door.client_sockets:
             data = b""
             while b"I\0\0\0\4Z" not in data:
                 data += await asyncio.to_thread(sock.recv, 4096)
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_a_first_query_in_the_moment_in_which_its_time_is_over_is_taken() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_a_first_query_at_the_moment_of_its_timeout_is_taken() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(query()))
+        sock.sendall(Client.simple_query(query()))
         time.sleep(0.02)  # in the kernel; no task has had its turn
         session.receive_deadline = door.sessions.loop.time() - 0.01
         assert session.expiry_reason(door.sessions.loop.time()) is None
-        await door.until(lambda: door.heard(QueryReceived))
+        await door.wait_until(lambda: door.received(QueryReceived))
         assert not session.ended
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_bytes_that_go_on_coming_do_not_put_off_the_end_of_a_late_message() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_further_bytes_do_not_postpone_the_timeout_of_a_late_message() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(query())[:-1])
+        sock.sendall(Client.simple_query(query())[:-1])
         time.sleep(0.02)
         session.receive_deadline = door.sessions.loop.time() - door.limits.close_grace_s - 0.01
         assert session.expiry_reason(door.sessions.loop.time()) == "silent"
 
-    play(story)
+    run_with_sessions(story)
 
 
 # --- The client that left.
 
 
-def test_an_end_behind_a_buffer_that_nobody_reads_is_seen() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_an_end_of_stream_behind_a_full_buffer_is_detected() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(query()) + b"x" * 100_000)
-        await door.until(lambda: door.heard(QueryReceived) and session.connection.buffer.full)
-        (asked,) = door.heard(QueryReceived)
+        sock.sendall(Client.simple_query(query()) + b"x" * 100_000)
+        await door.wait_until(lambda: door.received(QueryReceived) and session.connection.buffer.full)
+        (asked,) = door.received(QueryReceived)
         assert not session.has_left(asked)
         sock.shutdown(socket.SHUT_WR)
-        await door.until(lambda: door.heard(ClientDeparted))
+        await door.wait_until(lambda: door.received(ClientDeparted))
         assert asked.client_left
 
-    play(story, query_bytes=4096, watch_s=0.02)
+    run_with_sessions(story, query_bytes=4096, watch_s=0.02)
 
 
-def test_an_end_that_no_task_has_read_is_asked_for_before_an_attempt() -> None:
-    async def story(door: Door) -> None:
-        sock, _, _ = await door.started()
-        sock.sendall(Client.simple(query()))
-        await door.until(lambda: door.heard(QueryReceived))
-        (asked,) = door.heard(QueryReceived)
+def test_an_unread_end_of_stream_is_checked_before_an_attempt() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, _, _ = await door.connect_client()
+        sock.sendall(Client.simple_query(query()))
+        await door.wait_until(lambda: door.received(QueryReceived))
+        (asked,) = door.received(QueryReceived)
         assert not asked.client.has_left(asked)
         sock.close()
         time.sleep(0.02)
         assert asked.client.has_left(asked) and asked.client_left
 
-    play(story)
+    run_with_sessions(story)
 
 
 def reset(sock: socket.socket) -> None:
@@ -266,115 +266,117 @@
     sock.close()
 
 
-def test_a_reset_that_hides_behind_unread_bytes_is_asked_for_before_an_attempt() -> None:
-    async def story(door: Door) -> None:
-        sock, _, _ = await door.started()
-        sock.sendall(Client.simple(query()))
-        await door.until(lambda: door.heard(QueryReceived))
-        (asked,) = door.heard(QueryReceived)
-        sock.sendall(Client.simple(query()))  # these bytes come first in the kernel
+def test_a_reset_behind_unread_bytes_is_checked_before_an_attempt() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, _, _ = await door.connect_client()
+        sock.sendall(Client.simple_query(query()))
+        await door.wait_until(lambda: door.received(QueryReceived))
+        (asked,) = door.received(QueryReceived)
+        sock.sendall(Client.simple_query(query()))  # these bytes come first in the kernel
         reset(sock)
         time.sleep(0.02)  # no task has its turn
         assert asked.client.has_left(asked) and asked.client_left
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_a_reset_behind_a_buffer_that_nobody_reads_is_seen() -> None:
-    async def story(door: Door) -> None:
-        sock, process, _ = await door.started()
+def test_a_reset_behind_a_full_buffer_is_detected() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, process, _ = await door.connect_client()
         session = door.sessions.sessions[process][0]
-        sock.sendall(Client.simple(query()) + b"x" * 100_000)
-        await door.until(lambda: door.heard(QueryReceived) and session.connection.buffer.full)
+        sock.sendall(Client.simple_query(query()) + b"x" * 100_000)
+        await door.wait_until(lambda: door.received(QueryReceived) and session.connection.buffer.full)
         reset(sock)
-        await door.until(lambda: door.heard(ClientDeparted))
+        await door.wait_until(lambda: door.received(ClientDeparted))
 
-    play(story, query_bytes=4096, watch_s=0.02)
+    run_with_sessions(story, query_bytes=4096, watch_s=0.02)
 
 
 def test_a_cancel_request_that_overtakes_its_query_cancels_it() -> None:
-    async def story(door: Door) -> None:
-        sock, process, secret = await door.started()
-        sock.sendall(Client.simple(query()))
+    async def story(door: SessionHarness) -> None:
+        sock, process, secret = await door.connect_client()
+        sock.sendall(Client.simple_query(query()))
         time.sleep(0.02)  # the query is in the kernel, the cancel request is read first
         door.sessions.cancel_query(process, secret)
         data = await asyncio.to_thread(sock.recv, 4096)
-        assert b"C57014\0" in data and not door.heard(QueryReceived)
-        sock.sendall(Client.simple(query()))  # the next one is another matter
-        await door.until(lambda: door.heard(QueryReceived))
+        assert b"C57014\0" in data and not door.received(QueryReceived)
+        sock.sendall(Client.simple_query(query()))  # the next one is another matter
+        await door.wait_until(lambda: door.received(QueryReceived))
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_a_cancel_request_passes_those_that_wait_for_room() -> None:
-    async def story(door: Door) -> None:
-        busy = [await door.started() for _ in range(8)]
+def test_a_cancel_request_passes_waiting_sessions() -> None:
+    async def story(door: SessionHarness) -> None:
+        busy = [await door.connect_client() for _ in range(8)]
         for sock, _, _ in busy:
-            sock.sendall(Client.simple(query()))
-        await door.until(lambda: len(door.heard(QueryReceived)) == 8)
-        waiting = [door.connect(Client.startup()) for _ in range(3)]
-        await door.until(lambda: len(door.sessions.waiting_sessions) == 3)
+            sock.sendall(Client.simple_query(query()))
+        await door.wait_until(lambda: len(door.received(QueryReceived)) == 8)
+        waiting = [door.connect(Client.startup_message()) for _ in range(3)]
+        await door.wait_until(lambda: len(door.sessions.waiting_sessions) == 3)
         _, process, secret = busy[0]
         start = time.monotonic()
         door.connect(cancel_request(process, secret))
-        await door.until(lambda: door.heard(ClientDeparted))
+        await door.wait_until(lambda: door.received(ClientDeparted))
         assert time.monotonic() - start < 0.1
         busy[0][0].close()
         assert await asyncio.to_thread(waiting[0].recv, 1) == b"R"  # there is room now, for the first to come
 
-    play(story, client_connections=8, doorway=4)
+    run_with_sessions(story, client_connections=8, doorway=4)
 
 
 def test_a_cancel_request_behind_a_fuller_queue_waits_and_the_close_after_it_counts() -> None:
     """Not mended, see docs/crossings.md: nothing but to accept them shows who is in the kernel's queue."""
 
-    async def story(door: Door) -> None:
-        busy = [await door.started() for _ in range(8)]
+    async def story(door: SessionHarness) -> None:
+        busy = [await door.connect_client() for _ in range(8)]
         for sock, _, _ in busy:
-            sock.sendall(Client.simple(query()))
-        await door.until(lambda: len(door.heard(QueryReceived)) == 8)
+            sock.sendall(Client.simple_query(query()))
+        await door.wait_until(lambda: len(door.received(QueryReceived)) == 8)
         for _ in range(5):  # two in the doorway, three in the kernel's queue
-            door.connect(Client.startup())
-        await door.until(lambda: len(door.sessions.waiting_sessions) == 2)
+            door.connect(Client.startup_message())
+        await door.wait_until(lambda: len(door.sessions.waiting_sessions) == 2)
         cancelled, process, secret = busy[0]
         door.connect(cancel_request(process, secret))
         for _ in range(10):
             await asyncio.sleep(door.limits.poll_interval_s)
-        assert not door.heard(ClientDeparted) and door.counters["sessions", "cancel_requests"] == 0
+        assert not door.received(ClientDeparted) and door.counters["sessions", "cancel_requests"] == 0
         query_of = door.sessions.sessions[process][0].open_query
         cancelled.close()  # as each client does that has cancelled, half a second later
-        await door.until(lambda: door.heard(ClientDeparted))
-        assert door.heard(ClientDeparted) == [query_of] and door.counters["sessions", "cancel_requests"] == 0
+        await door.wait_until(lambda: door.received(ClientDeparted))
+        assert (
+            door.received(ClientDeparted) == [query_of] and door.counters["sessions", "cancel_requests"] == 0
+        )
         for sock, _, _ in busy[1:6]:  # the queue moves on with the clients at work
             sock.close()
-        await door.until(lambda: door.counters["sessions", "cancel_requests"] == 1)
+        await door.wait_until(lambda: door.counters["sessions", "cancel_requests"] == 1)
 
-    play(story, client_connections=8, doorway=2)
+    run_with_sessions(story, client_connections=8, doorway=2)
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 512, 1024])
-def test_clients_of_the_protocol_never_fill_what_is_accepted(sockets: int) -> None:
+def test_conforming_clients_never_fill_the_accepted_connections(sockets: int) -> None:
     """They hold a third of the descriptors at most: the queue above takes clients that keep no protocol."""
     limits = Limits.read({"settings": {}, "limits": {"sockets": sockets}})
     assert limits.client_connections + limits.waiting_connections >= sockets * 4 // 9
 
 
-def test_idle_clients_make_way_for_any_number_that_come() -> None:
-    async def story(door: Door) -> None:
+def test_idle_clients_are_displaced_by_any_number_of_new_ones() -> None:
+    async def story(door: SessionHarness) -> None:
         idle = [door.connect() for _ in range(40)]
         await asyncio.sleep(0.2)
         start = time.monotonic()
         for _ in range(5):
-            await door.started()
+            await door.connect_client()
         assert time.monotonic() - start < 1.0
         assert len(door.sessions.sessions) <= 12 and idle
 
-    play(story, client_connections=8, doorway=2, quiet_s=0.02, crossing_s=0.05)
+    run_with_sessions(story, client_connections=8, doorway=2, quiet_s=0.02, crossing_s=0.05)
 
 
-def test_no_descriptor_for_a_new_client_ends_an_idle_one_and_spins_not() -> None:
-    async def story(door: Door) -> None:
-        _, process, _ = await door.started()
+def test_running_out_of_descriptors_closes_an_idle_session_without_spinning() -> None:
+    async def story(door: SessionHarness) -> None:
+        _, process, _ = await door.connect_client()
         door.sessions.idle_since[door.sessions.sessions[process][0]] -= (
             60.0  # the only one that counts as idle
         )
@@ -387,40 +389,40 @@
             return await accept(listener)
 
         door.sessions.loop.sock_accept = none_left  # type: ignore[method-assign, assignment]
-        await door.started()  # ends the accept that waits; the next ones fail
-        await door.until(lambda: len(refused) == 5)
+        await door.connect_client()  # ends the accept that waits; the next ones fail
+        await door.wait_until(lambda: len(refused) == 5)
         assert refused[-1] - refused[0] >= 0.04
-        await door.started()
+        await door.connect_client()
         assert door.counters["sessions", "displaced"] == 1
         assert door.sessions.sessions[process][0].ended
 
-    play(story, quiet_s=30.0, linger_s=30.0)
+    run_with_sessions(story, quiet_s=30.0, linger_s=30.0)
 
 
-def test_commands_sent_at_once_count_their_time_from_then() -> None:
-    async def story(door: Door) -> None:
-        sock, _, _ = await door.started()
-        sock.sendall(Client.simple(query()) * 2)
-        await door.until(lambda: door.heard(QueryReceived))
-        (first,) = door.heard(QueryReceived)
+def test_pipelined_commands_are_timed_from_their_arrival() -> None:
+    async def story(door: SessionHarness) -> None:
+        sock, _, _ = await door.connect_client()
+        sock.sendall(Client.simple_query(query()) * 2)
+        await door.wait_until(lambda: door.received(QueryReceived))
+        (first,) = door.received(QueryReceived)
         time.sleep(0.3)
         first.client.refuse(first, None)
-        await door.until(lambda: len(door.heard(QueryReceived)) == 2)
-        second = door.heard(QueryReceived)[1]
+        await door.wait_until(lambda: len(door.received(QueryReceived)) == 2)
+        second = door.received(QueryReceived)[1]
         assert (
             abs(second.received_us - first.received_us) < 150_000
         )  # by the kernel's account, not 0.3 s later
 
-    play(story)
+    run_with_sessions(story)
 
 
-def test_nothing_small_is_held_back_by_the_system() -> None:
-    async def story(door: Door) -> None:
-        _, process, _ = await door.started()
+def test_small_writes_are_not_delayed_by_the_kernel() -> None:
+    async def story(door: SessionHarness) -> None:
+        _, process, _ = await door.connect_client()
         sock = door.sessions.sessions[process][0].connection.sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    play(story)
+    run_with_sessions(story)
 
 
 # --- The bulletin.
@@ -433,7 +435,7 @@
     )
 
 
-def test_an_event_that_cant_be_read_is_asked_for_again_once() -> None:
+def test_an_unreadable_event_is_requested_again_once() -> None:
     given = bulletin()
     spoilt, sound = b'{"no":2,"roster":7}', b'{"no":2,"roster":{"instances":[]}}'
     assert given.process_line(spoilt) and given.last_event_number == 1
@@ -443,7 +445,7 @@
     assert again.process_line(spoilt) and again.process_line(spoilt) and again.last_event_number == 2
 
 
-def test_a_whole_list_needs_none_of_the_events_before_it() -> None:
+def test_a_full_list_needs_none_of_the_events_before_it() -> None:
     """Else a bulletin that no longer has those would be asked for them for good, and no drain be heard of."""
     given = bulletin()
     assert not given.process_line(b'{"no":5,"roster":{"instances":[]}}') and given.last_event_number == 1
@@ -463,7 +465,7 @@
 
 
 @pytest.mark.parametrize("drip", [b"", b"x"])
-def test_a_watch_without_a_whole_line_is_silent_whatever_drips(drip: bytes) -> None:
+def test_a_watch_without_a_whole_line_counts_as_silent(drip: bytes) -> None:
     async def story() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -14,7 +14,7 @@
 import pytest
 
 from whintrail.standins.scripted import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Bulletin,
     Client,
     Engine,
@@ -71,18 +71,18 @@
         self.new_bulletin.publish(first.entry("leaving"), second.entry())
         with listener() as free:
             self.port: int = free.getsockname()[1]
-        config = configuration("n0", self.port, self.old_bulletin.where, self.old_bulletin.events)
+        config = configuration("n0", self.port, self.old_bulletin.address, self.old_bulletin.events)
         self.new_configuration = folder / "config.json.new"
-        self.new_configuration.write_text(json.dumps({**config, "bulletin": self.new_bulletin.where}))
+        self.new_configuration.write_text(json.dumps({**config, "bulletin": self.new_bulletin.address}))
         (folder / "sitecustomize.py").write_text(SITECUSTOMIZE)
         self.gateway = Gateway(config, folder, SIGNAL_AT=at, PYTHONPATH=str(folder))
 
     def is_serving(self) -> bool:
-        assert self.gateway.process.poll() is None, self.gateway.text()
-        return "serves on" in self.gateway.text()
+        assert self.gateway.process.poll() is None, self.gateway.log_text()
+        return "serves on" in self.gateway.log_text()
 
     def close(self) -> None:
-        self.gateway.end()
+        self.gateway.kill()
         for server in (self.old_bulletin, self.new_bulletin, *self.engines):
             server.close()
 
@@ -94,7 +94,7 @@
         wait_for(scenario.is_serving)
         yield scenario
         scenario.gateway.signal(signal.SIGTERM)
-        assert scenario.gateway.process.wait(PATIENCE_S) == 0
+        assert scenario.gateway.process.wait(WAIT_TIMEOUT_S) == 0
         assert not scenario.new_configuration.exists()  # the signal was sent
     finally:
         scenario.close()
@@ -106,9 +106,9 @@
 )
 def test_sighup_during_startup_neither_ends_the_program_nor_is_lost(at: str, tmp_path: Path) -> None:
     with signal_scenario(tmp_path, at) as scenario:
-        wait_for(lambda: scenario.new_bulletin.asked == [1])
+        wait_for(lambda: scenario.new_bulletin.requested_events == [1])
         client = Client(scenario.port)
-        wait_for(lambda: client.ask(query(ttl=1000)).rows and scenario.engines[1].done)
+        wait_for(lambda: client.ask(query(ttl=1000)).rows and scenario.engines[1].queries)
         client.close()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,14 +15,14 @@
 
 from whintrail.cli import main
 from whintrail.control import send_request
-from whintrail.standins.peers import Fleet, fleet, lossy, sound, split
+from whintrail.standins.gateway_fleet import GatewayFleet, deliver_once, fleet, lossy, partition
 from whintrail.standins.scripted import Engine, query, wait_for
 
 
 class FleetRig:
     """A running fleet of gateway processes, with their operator's files and local sockets."""
 
-    def __init__(self, processes: Fleet, folder: Path) -> None:
+    def __init__(self, processes: GatewayFleet, folder: Path) -> None:
         self.fleet, self.folder = processes, folder
 
     def socket(self, number: int) -> str:
@@ -56,11 +56,11 @@
 
     def kill(self, number: int) -> None:
         self.fleet.gateways[number].process.kill()
-        self.fleet.gateways[number].end()
+        self.fleet.gateways[number].kill()
 
     def start(self, number: int, build: str = "") -> None:
         self.fleet.gateways[number] = self.fleet.start(number, build)
-        wait_for(lambda: self.fleet.ready(number))
+        wait_for(lambda: self.fleet.is_ready(number))
 
     def wait_for_exit(self, number: int) -> None:
         wait_for(lambda: self.fleet.gateways[number].process.poll() is not None)
@@ -126,7 +126,7 @@
             client = rig.fleet.client(number)
             assert client.ask(query()).rows
             client.close()
-        assert not rig.fleet.engines[0].done
+        assert not rig.fleet.engines[0].queries
         assert main(["fleet", "undrain", "s-1", *socket_args]) == 0
         assert main(["fleet", "members", "--socket", rig.socket(0)]) == 0
         assert main(["fleet", "status", *socket_args, "--format", "json"]) == 0
@@ -140,9 +140,9 @@
         first_engine, second_engine = rig.fleet.engines
         second_engine.mode = first_engine.mode = "wait"
         client = rig.fleet.client(2)
-        client.send(query())
-        wait_for(lambda: first_engine.done or second_engine.done)
-        name, engine = ("s-1", first_engine) if first_engine.done else ("s-2", second_engine)
+        client.send_query(query())
+        wait_for(lambda: first_engine.queries or second_engine.queries)
+        name, engine = ("s-1", first_engine) if first_engine.queries else ("s-2", second_engine)
         row = rig.request(1, "drain", engine=name, wait_s=5)
         assert row["word"] == "done", row
         agreed_at = time.monotonic()
@@ -150,14 +150,14 @@
         wait_for(lambda: rig.status(0)["waits_for"].get(name) == ["n2"])
         assert not rig.status(0)["drains"][name]["done"]
         first_engine.mode = second_engine.mode = "serve"
-        assert client.answer().rows
+        assert client.read_answer().rows
         client.close()
         wait_for(lambda: rig.status(0)["drains"][name]["done"])
         for number in range(3):
             client = rig.fleet.client(number)
             assert all(client.ask(query()).rows for _ in range(5))
             client.close()
-        assert all(run.at < agreed_at + 0.25 for run in engine.done)
+        assert all(run.received_at < agreed_at + 0.25 for run in engine.queries)
 
 
 def test_concurrent_slot_requests_and_crashed_or_paused_holder(tmp_path: Path) -> None:
@@ -192,7 +192,7 @@
         os.kill(process.pid, signal.SIGCONT)
         process.send_signal(signal.SIGTERM)
         rig.wait_for_exit(4)
-        assert "left_without_slot=1" in rig.fleet.gateways[4].text()
+        assert "left_without_slot=1" in rig.fleet.gateways[4].log_text()
         wait_for(lambda: "n4" in rig.status(0).get("out", {"n4": ""}))
         rig.start(4)
         wait_for(lambda: not rig.status(0)["slots"])  # freed once the new process has served
@@ -228,10 +228,10 @@
 
 def test_partition_and_datagram_loss(tmp_path: Path) -> None:
     with run_fleet(tmp_path, 5) as rig:
-        rig.fleet.relay.fault = lossy(0.33, most_s=0.05)
+        rig.fleet.relay.fault = lossy(0.33, max_delay_s=0.05)
         assert rig.request(4, "drain", engine="s-1", wait_s=10)["word"] == "done"
         assert rig.request(3, "undrain", engine="s-1", wait_s=10)["word"] == "done"
-        rig.fleet.relay.fault = split({0, 3}, {1, 2, 4})
+        rig.fleet.relay.fault = partition({0, 3}, {1, 2, 4})
         rig.wait_for_leader(excluded=0)
         assert rig.request(3, "drain", engine="s-2", wait_s=2)["word"] == "later"  # no quorum on its side
         assert rig.request(4, "drain", engine="s-2", wait_s=10)["word"] == "done"
@@ -241,7 +241,7 @@
         leader = rig.wait_for_leader(excluded=0)
         time.sleep(1.0)
         assert "n3" in rig.status(leader)["waits_for"]["s-2"]  # the unreachable gateway is named
-        rig.fleet.relay.fault = sound
+        rig.fleet.relay.fault = deliver_once
         wait_for(lambda: rig.status(leader)["drains"]["s-2"]["done"])
         wait_for(lambda: "s-2" in rig.status(3)["drains"])
 
@@ -270,12 +270,12 @@
                         if turn % 3 == 0:
                             load_ids.add(text.partition("call=")[2][:16])
                         answer = session.ask(text)
-                        if not answer.status:
+                        if not answer.transaction_status:
                             answers["closed"] += 1  # the connection ended without an answer
                             break
                         answers["served" if answer.rows else answer.sqlstate or "none"] += 1
                         if not answer.rows and answer.sqlstate is None:
-                            wrong.append(answer.text)
+                            wrong.append(answer.error_text)
                         time.sleep(0.005)
                 except OSError:
                     answers["closed"] += 1
@@ -295,7 +295,7 @@
             thread.join(15)
         assert not wrong and answers["served"] > 500, answers
         runs_by_id = Counter(
-            run.id for engine in rig.fleet.engines for run in engine.done if run.id in load_ids
+            run.id for engine in rig.fleet.engines for run in engine.queries if run.id in load_ids
         )
         assert len(runs_by_id) > 100 and set(runs_by_id.values()) == {1}  # no load ran twice
         assert answers["58000"] == 0, answers
@@ -373,17 +373,17 @@
 def test_halt_during_partition_and_three_way_voter_split(tmp_path: Path) -> None:
     with run_fleet(tmp_path, 5) as rig:
         assert rig.request(4, "release", build="new", steps=(1.0,), wait_s=5)["word"] == "done"
-        rig.fleet.relay.fault = split({0, 3}, {1, 2, 4})
+        rig.fleet.relay.fault = partition({0, 3}, {1, 2, 4})
         rig.wait_for_leader(excluded=0)
         assert rig.request(4, "halt", why="by hand", wait_s=10)["word"] == "done"
         time.sleep(1.0)
         # The halt has not reached it.
         assert rig.request(3, "may-restart", wait_s=2, wait=True)["word"] == "later"
         assert rig.request(4, "may-restart", wait_s=2, wait=True)["word"] == "later"
-        rig.fleet.relay.fault = split({0}, {1, 3}, {2, 4})
+        rig.fleet.relay.fault = partition({0}, {1, 3}, {2, 4})
         wait_for(lambda: rig.leader() is None)
         assert rig.request(4, "resume", wait_s=2)["word"] == "later"  # there is no leader
-        rig.fleet.relay.fault = sound
+        rig.fleet.relay.fault = deliver_once
         rig.wait_for_leader()
         wait_for(lambda: rig.status(3)["release"]["status"] == "halted")
 
@@ -402,7 +402,7 @@
         requester.start()
         wait_for(lambda: f"n{holder}" in rig.status(leader)["slots"])
         rig.kill(leader)
-        rig.fleet.relay.fault = sound
+        rig.fleet.relay.fault = deliver_once
         second = rig.wait_for_leader(excluded=leader)
         assert f"n{holder}" in rig.status(second)["slots"] or rows  # one slot, whichever gateway leads
         rig.start(leader)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -22,8 +22,8 @@
     SlotReturn,
     UndrainRequest,
 )
-from whintrail.standins.simulated import World, sound
-from whintrail.standins.supervised import Auditor, Supervisor, supervise
+from whintrail.standins.fleet_simulation import FleetSimulation, deliver_once
+from whintrail.standins.restart_audit import Auditor, Supervisor, create_supervisors
 
 ZONES = ("a", "b", "c")
 ENGINES = {f"e{n}": EngineAvailability(ZONES[n % 3]) for n in range(9)}
@@ -31,7 +31,7 @@
 
 def make_world(
     count: int = 9, fleet_budget: float = 2, zone_budget: float = 1, seed: int = 1, proven_us: int = 1_000_000
-) -> tuple[World, Auditor, list[Supervisor]]:
+) -> tuple[FleetSimulation, Auditor, list[Supervisor]]:
     rules = LeaderRules(
         DisruptionBudget(fleet_budget, zone_budget), DisruptionBudget(2, 1), min_serving_us=proven_us
     )
@@ -41,7 +41,7 @@
             "f", number, count, (0, 1, 2), build=build, zone=number % 3, zones=ZONES, rules=rules
         )
 
-    world = World(fleet_config, count, seed, dict(ENGINES), drift=0.005)
+    world = FleetSimulation(fleet_config, count, seed, dict(ENGINES), drift=0.005)
     auditor = Auditor(
         world,
         absolute_limit(fleet_budget, count),
@@ -50,10 +50,12 @@
     )
     assert world.run(8, lambda: world.leader() is not None)
     world.run(3)
-    return world, auditor, supervise(world, auditor)
+    return world, auditor, create_supervisors(world, auditor)
 
 
-def submit(world: World, number: int, change: object, timeout_s: float = 5.0, retries: bool = True) -> int:
+def submit(
+    world: FleetSimulation, number: int, change: object, timeout_s: float = 5.0, retries: bool = True
+) -> int:
     """Sends a request and returns the status of the answer."""
     node = world.node(number)
     request_key = node.submit(world.clock(number), change, timeout_s, retries)  # type: ignore[arg-type]
@@ -73,7 +75,7 @@
 def test_slot_is_granted_within_a_second_and_freed_after_restart() -> None:
     world, auditor, supervisors = make_world()
     supervisors[5].restart("old")
-    assert world.run(1.0, lambda: bool(supervisors[5].waits_us))
+    assert world.run(1.0, lambda: bool(supervisors[5].slot_waits_us))
     assert world.run(3, lambda: world.processes[5] is None)
     assert 5 in world.state().slots
     assert world.run(8, lambda: not world.state().slots)
@@ -84,9 +86,9 @@
     world, auditor, supervisors = make_world(fleet_budget=1)
     for number in (3, 4, 5, 6):
         supervisors[number].restart("old")
-    world.run(60, lambda: all(supervisors[n].restarted for n in (3, 4, 5, 6)))
-    assert all(supervisors[n].restarted == 1 for n in (3, 4, 5, 6))
-    assert not auditor.breaches and max(w.out for w in auditor.went) == 1
+    world.run(60, lambda: all(supervisors[n].restart_count for n in (3, 4, 5, 6)))
+    assert all(supervisors[n].restart_count == 1 for n in (3, 4, 5, 6))
+    assert not auditor.breaches and max(w.total_down for w in auditor.departures) == 1
 
 
 def test_voter_restarts_keep_quorum_whatever_the_budget_allows() -> None:
@@ -96,7 +98,7 @@
     for _ in range(200):
         world.run(0.2)
         assert sum(world.processes[n] is None for n in (0, 1, 2)) <= 1
-    assert [supervisors[n].restarted for n in (0, 1, 2)] == [1, 1, 1]
+    assert [supervisors[n].restart_count for n in (0, 1, 2)] == [1, 1, 1]
     consensus = world.node(0).consensus
     assert consensus is not None and consensus.epoch >> 32 == 1 and not auditor.breaches
 
@@ -108,7 +110,7 @@
     world.run(4)
     supervisors[3].restart("old", 4)
     world.run(5)
-    assert not supervisors[3].waits_us
+    assert not supervisors[3].slot_waits_us
     assert world.run(30, lambda: world.processes[7] is not None) and not auditor.breaches
 
 
@@ -119,34 +121,34 @@
     assert world.run(3, lambda: world.processes[3] is None)
     supervisors[4].restart("old", 40)
     world.run(30)
-    assert not supervisors[4].waits_us and 3 in world.state().slots
+    assert not supervisors[4].slot_waits_us and 3 in world.state().slots
     assert submit(world, 5, SlotReturn(3, 0, True)) == 0
     assert world.run(3, lambda: 3 not in world.state().slots)
-    assert not supervisors[4].waits_us  # the crashed gateway still counts as unavailable
+    assert not supervisors[4].slot_waits_us  # the crashed gateway still counts as unavailable
 
 
 def test_unused_slot_is_returned_by_its_holder() -> None:
     world, auditor, supervisors = make_world(fleet_budget=1)
-    supervisors[3].slow_us = 5_000_000
+    supervisors[3].termination_delay_us = 5_000_000
     supervisors[3].restart("old")
-    assert world.run(2, lambda: bool(supervisors[3].waits_us))
+    assert world.run(2, lambda: bool(supervisors[3].slot_waits_us))
     world.run(0.5)
     assert 3 in world.state().slots
     assert world.run(3, lambda: not world.state().slots)
     assert world.run(6, lambda: world.processes[3] is None)
-    assert auditor.went[-1].fence == 0  # it restarted without a slot, which is counted
+    assert auditor.departures[-1].fence == 0  # it restarted without a slot, which is counted
 
 
 def test_holder_paused_past_its_deadline_has_no_slot() -> None:
     world, auditor, supervisors = make_world(fleet_budget=1)
-    supervisors[3].slow_us = 100_000
+    supervisors[3].termination_delay_us = 100_000
     supervisors[3].restart("old")
-    assert world.run(2, lambda: bool(supervisors[3].waits_us))
-    world.stop(3, 5)
+    assert world.run(2, lambda: bool(supervisors[3].slot_waits_us))
+    world.pause(3, 5)
     assert world.run(4, lambda: not world.node(world.leader() or 0).membership.is_alive(3))
     assert submit(world, 5, SlotReturn(3, 0, True)) == 0
     world.run(6)
-    assert auditor.went[-1].number == 3 and auditor.went[-1].fence == 0
+    assert auditor.departures[-1].number == 3 and auditor.departures[-1].fence == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -154,7 +156,7 @@
     random = Random(seed)
     world, auditor, supervisors = make_world(count=12, fleet_budget=3, zone_budget=1, seed=seed)
     for _ in range(30):
-        world.fault = sound
+        world.fault = deliver_once
         if random.random() < 0.5:
             cut, loss = set(random.sample(range(12), 3)), random.choice([0.05, 0.33])
 
@@ -163,17 +165,17 @@
 
             world.fault = fault
         for supervisor in random.sample(supervisors, 4):
-            supervisor.slow_us = random.choice([0, 0, 500_000, 2_000_000])
+            supervisor.termination_delay_us = random.choice([0, 0, 500_000, 2_000_000])
             supervisor.restart("old", 8)
         victim = random.choice(supervisors)
         match random.randrange(3):
             case 0 if world.processes[victim.number] is not None:
                 victim.kill(random.randrange(500_000, 6_000_000))
             case 1:
-                world.stop(victim.number, random.random() * 5)
+                world.pause(victim.number, random.random() * 5)
         world.run(random.random() * 5)
     assert not auditor.breaches
-    assert sum(w.fence > 0 for w in auditor.went) >= 10  # granting nothing would keep the budget too
+    assert sum(w.fence > 0 for w in auditor.departures) >= 10  # granting nothing would keep the budget too
 
 
 # --- Broken variants that the auditor has to detect.
@@ -195,17 +197,17 @@
 ) -> None:
     monkeypatch.setattr(node_module, "LeaderClient", client_class)
     world, auditor, supervisors = make_world(fleet_budget=1)
-    supervisors[3].slow_us, supervisors[4].down_us = 12_000_000, 60_000_000
+    supervisors[3].termination_delay_us, supervisors[4].down_us = 12_000_000, 60_000_000
     supervisors[3].restart("old")
-    assert world.run(2, lambda: bool(supervisors[3].waits_us))
-    world.stop(3, 5)
+    assert world.run(2, lambda: bool(supervisors[3].slot_waits_us))
+    world.pause(3, 5)
     assert world.run(4, lambda: not world.node(world.leader() or 0).membership.is_alive(3))
     assert submit(world, 5, SlotReturn(3, 0, True)) == 0
     world.run(6)
     supervisors[4].restart("old")
     assert world.run(3, lambda: world.processes[4] is None)
     world.run(6)
-    assert auditor.went[-1].number == 3
+    assert auditor.departures[-1].number == 3
     assert bool(auditor.breaches) is (client_class is UnfencedClient)
 
 
@@ -216,14 +218,14 @@
     monkeypatch.setattr(node_module, "LeaderClient", client_class)
     world, auditor, supervisors = make_world(fleet_budget=1)
     assert submit(world, 4, ReleaseRequest("new", (500, 1000), "")) == 0
-    supervisors[3].slow_us = 4_000_000
+    supervisors[3].termination_delay_us = 4_000_000
     supervisors[3].restart("new")
-    assert world.run(2, lambda: bool(supervisors[3].waits_us))
-    world.stop(3, 2.5)
+    assert world.run(2, lambda: bool(supervisors[3].slot_waits_us))
+    world.pause(3, 2.5)
     assert submit(world, 4, ReleaseStatusRequest(HALTED, "by hand")) == 0
     auditor.halted_at = world.now
     world.run(6)
-    assert auditor.went[-1].number == 3
+    assert auditor.departures[-1].number == 3
     assert bool(auditor.breaches) is (client_class is UnfencedClient)
 
 
@@ -270,35 +272,35 @@
     leader = world.leader()
     assert leader is not None
     assert world.run(2, lambda: 3 in world.node(leader).state.slots)  # committed
-    assert not supervisors[3].waits_us  # but not answered
+    assert not supervisors[3].slot_waits_us  # but not answered
     auditor.down[leader] = (world.now, False)
     world.kill(leader)
     world.run(0.5)
     supervisors[leader].start()
     supervisors[4].restart("old")
     world.run(30)
-    assert supervisors[3].restarted and supervisors[4].restarted
-    assert not auditor.breaches and len({w.fence for w in auditor.went if w.fence}) >= 2
+    assert supervisors[3].restart_count and supervisors[4].restart_count
+    assert not auditor.breaches and len({w.fence for w in auditor.departures if w.fence}) >= 2
 
 
 # --- Drains of engines.
 
 
-def is_drain_done(world: World, engine: str) -> bool:
+def is_drain_done(world: FleetSimulation, engine: str) -> bool:
     drain = world.state().drains.get(engine)
     return drain is not None and drain.done
 
 
 def test_drain_completes_once_every_gateway_has_confirmed() -> None:
     world, _, _ = make_world()
-    world.busy[6, "e1"] = 2
+    world.open_attempts[6, "e1"] = 2
     assert submit(world, 8, DrainRequest("e1", "disk", 0, False)) == 0
     assert world.run(0.6, lambda: all("e1" in world.node(n).drained_engines() for n in range(9)))
     world.run(5)
     assert not is_drain_done(world, "e1")
     leader = world.node(world.leader() or 0)
     assert leader.leader is not None and leader.leader.drain_blockers(leader.now, "e1") == [6]
-    world.busy.clear()
+    world.open_attempts.clear()
     assert world.run(3, lambda: is_drain_done(world, "e1"))
     assert submit(world, 2, UndrainRequest("e1", "")) == 0
     assert world.run(2, lambda: not any("e1" in world.node(n).drained_engines() for n in range(9)))
@@ -320,7 +322,7 @@
 
 def test_drain_is_undone_when_losses_exhaust_the_budget() -> None:
     world, _, _ = make_world()
-    world.busy[6, "e1"] = 1  # so that the drain is not done
+    world.open_attempts[6, "e1"] = 1  # so that the drain is not done
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
     for number in range(9):
         process = world.processes[number]
@@ -333,12 +335,12 @@
     world.run(1)
     assert "e1" in world.state().drains  # a short loss does not undo it
     assert world.run(4, lambda: "e1" not in world.state().drains)
-    assert any("halted" in str(more.get("why")) for _, _, what, more in world.lines)
+    assert any("halted" in str(more.get("why")) for _, _, what, more in world.log_lines)
 
 
 def test_drain_past_its_limit_is_undone_or_held() -> None:
     world, _, _ = make_world()
-    world.busy[6, "e1"] = world.busy[6, "e2"] = 1
+    world.open_attempts[6, "e1"] = world.open_attempts[6, "e2"] = 1
     assert submit(world, 8, DrainRequest("e1", "", 3, True)) == 0
     assert submit(world, 8, DrainRequest("e2", "", 3, False)) == 0
     assert world.run(6, lambda: "e1" not in world.state().drains)
@@ -362,18 +364,18 @@
 ) -> None:
     monkeypatch.setattr(node_module, "Leader", leader)
     world, _, _ = make_world()
-    world.busy[6, "e1"] = 1
+    world.open_attempts[6, "e1"] = 1
     world.fault = lambda a, b, _: [] if a == 6 else [0.0]  # it receives, but its datagrams are lost
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
     world.run(3)
-    done_too_early = is_drain_done(world, "e1") and world.busy[6, "e1"] > 0
+    done_too_early = is_drain_done(world, "e1") and world.open_attempts[6, "e1"] > 0
     assert done_too_early is (leader is TreatsSilenceAsConfirmation)
 
 
 def test_silent_gateway_blocks_drain_until_it_reports_or_is_given_up() -> None:
     world, _, _ = make_world()
     world.kill(6)
-    world.stop(7, 12)
+    world.pause(7, 12)
     assert submit(world, 8, DrainRequest("e1", "", 0, False)) == 0
     world.run(20)  # gateway 6 is removed by now, but it may only be cut off
     assert world.node(1).membership.members[6].state.name == "GONE"
@@ -397,7 +399,7 @@
 # --- Releases.
 
 
-def request_restarts(world: World, supervisors: list[Supervisor], build: str) -> None:
+def request_restarts(world: FleetSimulation, supervisors: list[Supervisor], build: str) -> None:
     """Requests a restart of every gateway that is not on the build."""
     for supervisor in supervisors:
         process = world.processes[supervisor.number]
@@ -405,18 +407,18 @@
             supervisor.restart(build, 20)
 
 
-def release_status(world: World) -> int | None:
+def release_status(world: FleetSimulation) -> int | None:
     release = world.state().release
     return release.status if release is not None else None
 
 
 def test_good_build_passes_all_steps_despite_leader_crash() -> None:
     world, auditor, supervisors = make_world(count=9, fleet_budget=2, zone_budget=1)
-    world.bad = {"old": (0.01, 0.01, 0.02), "new": (0.01, 0.01, 0.02)}
+    world.failure_shares = {"old": (0.01, 0.01, 0.02), "new": (0.01, 0.01, 0.02)}
     for process in world.processes:
         assert process is not None
-        process.rate = 60.0
-    world.rate = 60.0
+        process.queries_per_s = 60.0
+    world.queries_per_s = 60.0
     assert submit(world, 4, ReleaseRequest("new", (120, 500, 1000), "")) == 0
     killed, state = False, world.state().release
     for _ in range(60):
@@ -434,28 +436,28 @@
     assert state is not None and state.status == DONE and state.status_reason != "back", state
     assert killed and all(p is not None and p.build == "new" for p in world.processes)
     assert not auditor.breaches
-    steps = [(at, more["step"]) for at, _, what, more in world.lines if what == "release step"]
+    steps = [(at, more["step"]) for at, _, what, more in world.log_lines if what == "release step"]
     assert {step for _, step in steps} == {2, 3}
 
 
 def test_canary_failing_under_load_halts_release_then_rollback() -> None:
     world, auditor, supervisors = make_world(count=9, fleet_budget=2, zone_budget=1)
-    world.bad = {"old": (0.01, 0.0, 0.0), "new": (0.01, 0.0, 0.0)}
+    world.failure_shares = {"old": (0.01, 0.0, 0.0), "new": (0.01, 0.0, 0.0)}
     assert submit(world, 4, ReleaseRequest("new", (120, 1000), "")) == 0
     request_restarts(world, supervisors, "new")
     world.run(15)
     state = world.state().release
     assert state is not None and (state.status, state.step) == (RUNNING, 0)  # too little traffic to decide
     assert sum(p is not None and p.build == "new" for p in world.processes) == 2
-    world.bad["new"] = (0.2, 0.0, 0.0)
+    world.failure_shares["new"] = (0.2, 0.0, 0.0)
     for process in world.processes:
         if process is not None:
-            process.rate = 80.0
+            process.queries_per_s = 80.0
     assert world.run(20, lambda: release_status(world) == HALTED)
     before = world.now
     request_restarts(world, supervisors, "new")
     world.run(10)
-    assert not any(w.fence and w.at > before + 2_000_000 for w in auditor.went)
+    assert not any(w.fence and w.departed_us > before + 2_000_000 for w in auditor.departures)
     assert submit(world, 5, ReleaseStatusRequest(ROLLING_BACK, "")) == 0
     for _ in range(10):
         for supervisor in supervisors:
@@ -503,8 +505,8 @@
     world, auditor, supervisors = make_world(count=9, fleet_budget=2, zone_budget=2)
     for process in world.processes:
         assert process is not None
-        process.rate = 80.0
-    world.rate = 80.0
+        process.queries_per_s = 80.0
+    world.queries_per_s = 80.0
     assert submit(world, 4, ReleaseRequest("new", (1000,), "", True)) == 0
     order: list[str] = []
     for turn in range(50):
@@ -512,7 +514,7 @@
         if turn == 2:  # cuts off the last zone for a while
             world.fault = lambda a, b, _: [] if (a % 3 == 2) != (b % 3 == 2) else [0.0]
         if turn == 5:
-            world.fault = sound
+            world.fault = deliver_once
         world.run(4)
         for zone in ZONES:
             there = [p for p in world.processes if p is not None and ZONES[p.number % 3] == zone]
@@ -532,12 +534,12 @@
     auditor.halted_at = world.now
     request_restarts(world, supervisors, "new")
     world.run(10)
-    assert not any(w.fence for w in auditor.went)  # also on the side that the halt has not reached
-    world.fault = sound
+    assert not any(w.fence for w in auditor.departures)  # also on the side that the halt has not reached
+    world.fault = deliver_once
     assert world.run(5, lambda: world.node(6).state.release is not None and release_status(world) == HALTED)
     request_restarts(world, supervisors, "new")
     world.run(10)
-    assert not auditor.breaches and not any(w.fence for w in auditor.went)
+    assert not auditor.breaches and not any(w.fence for w in auditor.departures)
 
 
 def test_send_rate_is_bounded() -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 import pytest
 
 from whintrail.standins.scripted import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     Engine,
     Gateway,
@@ -44,14 +44,14 @@
         answer = cluster.client().ask(query(work=12.5, memory=64))
         expected = [tuple(row.split("\t")) for page in many_pages() for row in page.decode().splitlines()]
         assert answer.rows == expected
-        assert (answer.tag, answer.sqlstate, answer.status) == ("SELECT 1000", None, "I")
+        assert (answer.command_tag, answer.sqlstate, answer.transaction_status) == ("SELECT 1000", None, "I")
 
 
 def test_id_class_and_statement_reach_the_engine_unchanged_without_the_comment() -> None:
     sql = "SELECT a,  b -- /* op=x */\n FROM sales_17.t WHERE c = 'it''s; /* ö */'"
     with deployment() as cluster:
         assert cluster.client().ask(f"/* ttl=4000,x=1,call=9b1f03aa5c7e2d41,op=report */ {sql}").rows
-        (request,) = cluster.engines[0].done
+        (request,) = cluster.engines[0].queries
         assert (request.id, request.fields["class"], request.statement) == (
             "9b1f03aa5c7e2d41",
             "report",
@@ -63,30 +63,32 @@
 def test_queries_in_sequence_with_the_first_sent_along_with_the_startup() -> None:
     with deployment() as cluster:
         client = Client(cluster.port, start=False)
-        client.sock.sendall(client.startup() + client.simple(query()) + client.simple(query()))
-        client.greeted()
-        assert [client.answer().tag for _ in range(2)] == ["SELECT 1", "SELECT 1"]
-        assert client.ask(query()).tag == "SELECT 1"
+        client.sock.sendall(
+            client.startup_message() + client.simple_query(query()) + client.simple_query(query())
+        )
+        client.read_startup_response()
+        assert [client.read_answer().command_tag for _ in range(2)] == ["SELECT 1", "SELECT 1"]
+        assert client.ask(query()).command_tag == "SELECT 1"
 
 
 def test_a_query_received_one_byte_at_a_time() -> None:
     with deployment() as cluster:
         client = Client(cluster.port, start=False)
-        for byte in client.startup() + client.simple(query()):
+        for byte in client.startup_message() + client.simple_query(query()):
             client.sock.sendall(bytes([byte]))
             time.sleep(0.0005)
-        client.greeted()
-        assert client.answer().rows
+        client.read_startup_response()
+        assert client.read_answer().rows
 
 
 def test_many_clients_at_once_share_one_link() -> None:
     with deployment(scripted_engine(delay=0.1)) as cluster:
         clients = [cluster.client() for _ in range(40)]
         for client in clients:
-            client.send(query())
-        assert all(client.answer().rows for client in clients)
-        assert len(cluster.engines[0].done) == 40
-        assert len(cluster.engines[0].open) <= 2
+            client.send_query(query())
+        assert all(client.read_answer().rows for client in clients)
+        assert len(cluster.engines[0].queries) == 40
+        assert len(cluster.engines[0].connections) <= 2
 
 
 # --- Refused and failed queries.
@@ -96,15 +98,15 @@
     with deployment(scripted_engine(mode="overload")) as cluster:
         answer = cluster.client().ask(query(ttl=700))
         assert answer.sqlstate and RETRYABLE_SQLSTATE.match(answer.sqlstate)
-        assert re.search(r"pushback=2000\b", answer.text)
-        assert answer.status == "I"
+        assert re.search(r"pushback=2000\b", answer.error_text)
+        assert answer.transaction_status == "I"
 
 
 def test_a_non_repeatable_query_that_may_have_run_fails_with_a_non_retryable_code() -> None:
     with deployment(scripted_engine(mode="crashed")) as cluster:
         answer = cluster.client().ask(query("once"))
         assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate)
-        assert len(cluster.engines[0].done) == 1
+        assert len(cluster.engines[0].queries) == 1
 
 
 @pytest.mark.parametrize(
@@ -117,18 +119,18 @@
     with deployment(bad, good) as cluster:
         for _ in range(30):  # until a query is sent to the failing engine
             client = cluster.client()
-            client.send(query(op, ttl=3000))
-            wait_for(lambda: bad.done or good.done)
-            if bad.done:
+            client.send_query(query(op, ttl=3000))
+            wait_for(lambda: bad.queries or good.queries)
+            if bad.queries:
                 break
-            good.done.clear()
+            good.queries.clear()
             client.close()
-        assert bad.done
+        assert bad.queries
         good.mode = "serve"
-        answer = client.answer()
+        answer = client.read_answer()
         if op == "once":
             assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate)
-            assert not good.done
+            assert not good.queries
         else:
             assert len(answer.rows) == 1000
 
@@ -152,7 +154,7 @@
         cluster.engines[0].pages = many_pages()
         client = cluster.client()
         assert all(len(client.ask(query("once")).rows) == 1000 for _ in range(3))
-        assert len(cluster.engines[0].done) == 3
+        assert len(cluster.engines[0].queries) == 3
 
 
 def test_a_silent_engine_delays_a_query_only_until_its_deadline() -> None:
@@ -160,7 +162,7 @@
         start = time.monotonic()
         answer = cluster.client().ask(query(ttl=800))
         assert answer.sqlstate and 0.5 < time.monotonic() - start < 3.0
-        wait_for(lambda: any(words[0] == "undo" for words in cluster.engines[0].words))
+        wait_for(lambda: any(words[0] == "undo" for words in cluster.engines[0].requests))
 
 
 def test_queries_move_from_an_engine_that_refuses_connections_to_another() -> None:
@@ -177,27 +179,27 @@
 def test_a_cancel_request_ends_the_query_and_its_attempt() -> None:
     with deployment(scripted_engine(mode="silent")) as cluster:
         client = cluster.client()
-        client.send(query("report"))
-        wait_for(lambda: cluster.engines[0].done)
+        client.send_query(query("report"))
+        wait_for(lambda: cluster.engines[0].queries)
         other = Client(cluster.port, start=False)
-        other.sock.sendall(struct.pack("!IIII", 16, 80877102, client.key[0], client.key[1] ^ 1))
+        other.sock.sendall(struct.pack("!IIII", 16, 80877102, client.cancel_key[0], client.cancel_key[1] ^ 1))
         assert other.sock.recv(1) == b""
         other = Client(cluster.port, start=False)
-        other.sock.sendall(struct.pack("!IIII", 16, 80877102, *client.key))
-        assert client.answer().sqlstate == "57014"
-        wait_for(lambda: ["undo", cluster.engines[0].done[0].id] in cluster.engines[0].words)
+        other.sock.sendall(struct.pack("!IIII", 16, 80877102, *client.cancel_key))
+        assert client.read_answer().sqlstate == "57014"
+        wait_for(lambda: ["undo", cluster.engines[0].queries[0].id] in cluster.engines[0].requests)
 
 
 def test_a_disconnect_cancels_the_clients_attempt_and_affects_no_other_client() -> None:
     with deployment(scripted_engine(delay=0.3)) as cluster:
         cluster.engines[0].pages = many_pages()
         leaving, staying = cluster.client(), cluster.client()
-        leaving.send(query())
-        staying.send(query())
-        wait_for(lambda: len(cluster.engines[0].done) == 2)
+        leaving.send_query(query())
+        staying.send_query(query())
+        wait_for(lambda: len(cluster.engines[0].queries) == 2)
         leaving.close()
-        assert len(staying.answer().rows) == 1000
-        wait_for(lambda: any(words[0] == "undo" for words in cluster.engines[0].words))
+        assert len(staying.read_answer().rows) == 1000
+        wait_for(lambda: any(words[0] == "undo" for words in cluster.engines[0].requests))
 
 
 def test_a_slow_reader_does_not_delay_other_clients() -> None:
@@ -205,13 +207,13 @@
         cluster.engines[0].pages = many_pages()
         slow = Client(cluster.port, start=False)
         slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
-        slow.sock.sendall(slow.startup() + b"".join(slow.simple(query()) for _ in range(12)))
+        slow.sock.sendall(slow.startup_message() + b"".join(slow.simple_query(query()) for _ in range(12)))
         fast = cluster.client()
         start = time.monotonic()
         assert all(fast.ask(query()).rows for _ in range(20))
-        assert time.monotonic() - start < PATIENCE_S / 2
-        slow.greeted()
-        assert all(len(slow.answer().rows) == 1000 for _ in range(12))
+        assert time.monotonic() - start < WAIT_TIMEOUT_S / 2
+        slow.read_startup_response()
+        assert all(len(slow.read_answer().rows) == 1000 for _ in range(12))
 
 
 # --- Invalid input from clients.
@@ -233,9 +235,13 @@
     with deployment() as cluster:
         client = cluster.client()
         answer = client.ask(text)
-        assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate) and answer.status == "I"
+        assert (
+            answer.sqlstate
+            and not RETRYABLE_SQLSTATE.match(answer.sqlstate)
+            and answer.transaction_status == "I"
+        )
         assert client.ask(query()).rows
-        assert len(cluster.engines[0].done) == 1
+        assert len(cluster.engines[0].queries) == 1
 
 
 def test_a_zero_ttl_differs_from_an_absent_one() -> None:
@@ -252,15 +258,15 @@
         for code in (80877103, 80877104):
             client.sock.sendall(struct.pack("!II", 8, code))
             assert client.file.read(1) == b"N"
-        client.sock.sendall(client.startup())
-        client.greeted()
+        client.sock.sendall(client.startup_message())
+        client.read_startup_response()
         assert client.ask(query()).rows
         newer = Client(cluster.port, start=False)
-        newer.sock.sendall(newer.startup((3 << 16) + 2))
-        newer.greeted()
+        newer.sock.sendall(newer.startup_message((3 << 16) + 2))
+        newer.read_startup_response()
         old = Client(cluster.port, start=False)
-        old.sock.sendall(old.startup(2 << 16))
-        assert old.answer().sqlstate == "0A000"
+        old.sock.sendall(old.startup_message(2 << 16))
+        assert old.read_answer().sqlstate == "0A000"
 
 
 def test_extended_protocol_messages_get_one_error_until_sync() -> None:
@@ -269,7 +275,7 @@
         parse = client.message(b"P", b"\0SELECT 1\0\0\0")
         bind = client.message(b"B", b"\0\0\0\0\0\0\0\0")
         client.sock.sendall(parse + bind + client.message(b"S", b""))
-        assert client.answer().sqlstate == "0A000"
+        assert client.read_answer().sqlstate == "0A000"
         assert client.ask(query()).rows
 
 
@@ -279,9 +285,9 @@
         b"GET / HTTP/1.1\r\n\r\n",
         struct.pack("!I", 3),
         struct.pack("!II", 1 << 30, 3 << 16),
-        Client.startup() + b"Q" + struct.pack("!I", 2),
-        Client.startup() + b"Q" + struct.pack("!I", 1 << 30),
-        Client.startup() + b"\xff" + struct.pack("!I", 4),
+        Client.startup_message() + b"Q" + struct.pack("!I", 2),
+        Client.startup_message() + b"Q" + struct.pack("!I", 1 << 30),
+        Client.startup_message() + b"\xff" + struct.pack("!I", 4),
     ],
 )
 def test_an_invalid_message_gets_a_fatal_error_and_a_close(data: bytes) -> None:
@@ -301,10 +307,10 @@
     with deployment(first, second) as cluster:
         cluster.bulletin.publish(first.entry("leaving"))
         time.sleep(0.5)
-        first.done.clear()
+        first.queries.clear()
         client = cluster.client()
         assert all(client.ask(query()).rows for _ in range(30))
-        assert not first.done
+        assert not first.queries
 
 
 def test_an_address_can_be_reused_by_another_engine() -> None:
@@ -316,23 +322,23 @@
         cluster.engines.append(new)
         cluster.bulletin.publish(old.entry("left"), new.entry(startedAtMs=int(time.time() * 1000) - 60_000))
         wait_for(lambda: cluster.client().ask(query(ttl=1000)).rows)
-        assert new.done
+        assert new.queries
 
 
 def test_the_bulletin_resumes_after_a_cut_connection() -> None:
     first, second = scripted_engine("s-1"), scripted_engine("s-2")
     with deployment(first) as cluster:
         cluster.engines.append(second)
-        wait_for(lambda: cluster.bulletin.asked)
+        wait_for(lambda: cluster.bulletin.requested_events)
         cluster.bulletin.publish(second.entry())
-        wait_for(lambda: [cluster.client().ask(query()) for _ in range(5)] and second.done)
-        cluster.bulletin.cut()
-        wait_for(lambda: cluster.bulletin.asked[-1] == 2)
+        wait_for(lambda: [cluster.client().ask(query()) for _ in range(5)] and second.queries)
+        cluster.bulletin.reset_connections()
+        wait_for(lambda: cluster.bulletin.requested_events[-1] == 2)
 
 
 def test_invalid_bulletin_lines_change_nothing() -> None:
     with deployment() as cluster:
-        wait_for(lambda: cluster.bulletin.open)
+        wait_for(lambda: cluster.bulletin.connections)
         for line in (
             b"{",
             b'"x"',
@@ -343,7 +349,7 @@
             b'{"no":4,"roster":{"instances":[7,null,[]]}}',
             b"1",
         ):
-            cluster.bulletin.open[0].sendall(line + b"\n")
+            cluster.bulletin.connections[0].sendall(line + b"\n")
         time.sleep(0.3)
         assert cluster.client().ask(query()).rows
 
@@ -354,36 +360,36 @@
 def test_sigterm_finishes_open_queries_and_still_accepts_for_a_while() -> None:
     with deployment(scripted_engine(delay=0.6)) as cluster:
         early = cluster.client()
-        early.send(query())
-        wait_for(lambda: cluster.engines[0].done)
+        early.send_query(query())
+        wait_for(lambda: cluster.engines[0].queries)
         cluster.gateway.signal(signal.SIGTERM)
         time.sleep(0.4)
         late = cluster.client()
-        late.send(query())
-        assert early.answer().rows and late.answer().rows
-        assert cluster.gateway.process.wait(PATIENCE_S) == 0
-        assert re.search(r"event=queries served=2 taken=2", cluster.gateway.text())
+        late.send_query(query())
+        assert early.read_answer().rows and late.read_answer().rows
+        assert cluster.gateway.process.wait(WAIT_TIMEOUT_S) == 0
+        assert re.search(r"event=queries served=2 taken=2", cluster.gateway.log_text())
 
 
 def test_sigterm_fails_queries_that_do_not_finish_in_time() -> None:
     with deployment(scripted_engine(mode="silent")) as cluster:
         client = cluster.client()
-        client.send(query("once", ttl=8000))
-        wait_for(lambda: cluster.engines[0].done)
+        client.send_query(query("once", ttl=8000))
+        wait_for(lambda: cluster.engines[0].queries)
         start = time.monotonic()
         cluster.gateway.signal(signal.SIGTERM)
-        answer = client.answer()
+        answer = client.read_answer()
         assert answer.sqlstate and not RETRYABLE_SQLSTATE.match(answer.sqlstate)
         assert time.monotonic() - start < 3.65
-        assert cluster.gateway.process.wait(PATIENCE_S) == 0
+        assert cluster.gateway.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_counters_are_printed_on_a_signal() -> None:
     with deployment() as cluster:
         assert cluster.client().ask(query()).rows
         cluster.gateway.signal(signal.SIGUSR1)
-        wait_for(lambda: "event=queries served=1 taken=1" in cluster.gateway.text())
-        assert "event=attempts ok=1 sent=1" in cluster.gateway.text()
+        wait_for(lambda: "event=queries served=1 taken=1" in cluster.gateway.log_text())
+        assert "event=attempts ok=1 sent=1" in cluster.gateway.log_text()
 
 
 def test_a_failed_start_prints_one_line_and_exits_with_a_status(tmp_path: Path) -> None:
@@ -396,8 +402,8 @@
             (config, {}, "can't listen"),
         ):
             gateway = Gateway(given_config, tmp_path, **environment)
-            assert gateway.process.wait(PATIENCE_S) == 1
-            assert message in gateway.text() and len(gateway.text().splitlines()) <= 6
+            assert gateway.process.wait(WAIT_TIMEOUT_S) == 1
+            assert message in gateway.log_text() and len(gateway.log_text().splitlines()) <= 6
 
 
 def test_clients_beyond_the_descriptor_limit_wait_and_are_served() -> None:
@@ -406,12 +412,12 @@
 
         def ask_once() -> None:
             client = cluster.client()
-            answers.append(client.ask(query()).status)
+            answers.append(client.ask(query()).transaction_status)
             client.close()
 
         threads = [threading.Thread(target=ask_once) for _ in range(120)]
         for thread in threads:
             thread.start()
         for thread in threads:
-            thread.join(PATIENCE_S)
+            thread.join(WAIT_TIMEOUT_S)
         assert answers == ["I"] * 120
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -3,16 +3,16 @@
 
 import pytest
 
-from whintrail.standins.once import play
+from whintrail.standins.once_audit import run_scenario
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_that_may_run_once_is_sent_twice(seed: int) -> None:
-    audit = play(seed, 4.0)
-    assert len(audit.began) > 20 and len(audit.calls) > 20 and audit.ends["served"] > 20
-    assert not audit.twice and not audit.late_repeats
+def test_no_once_only_work_is_sent_twice(seed: int) -> None:
+    audit = run_scenario(seed, 4.0)
+    assert len(audit.once_starts) > 20 and len(audit.keyed_starts) > 20 and audit.outcomes["served"] > 20
+    assert not audit.duplicates and not audit.late_repeats
 
 
-def test_a_gateway_that_takes_a_reset_for_proof_is_found() -> None:
-    audit = play(1, 4.0, broken=True)
-    assert audit.twice
+def test_a_gateway_that_retries_after_a_reset_is_detected() -> None:
+    audit = run_scenario(1, 4.0, faulty=True)
+    assert audit.duplicates
--- a/tests/test_other_customer.py
+++ b/tests/test_other_customer.py
@@ -7,7 +7,7 @@
 import pytest
 
 from whintrail.standins.scripted import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Client,
     Engine,
     Gateway,
@@ -30,16 +30,16 @@
     engines = [Engine(f"s-{number}", mode="reset") for number in range(3)]
     with deployment(*engines, classes=CLASSES) as running:
         assert running.client().ask(query(op, ttl=None)).sqlstate == "58000"
-        assert 1 <= sum(len(engine.done) for engine in engines) <= most
+        assert 1 <= sum(len(engine.queries) for engine in engines) <= most
         assert running.client().ask(query("once")).sqlstate == "58000"  # not a class of these settings
-        assert not [done for engine in engines for done in engine.done if done.fields["class"] == "once"]
+        assert not [done for engine in engines for done in engine.queries if done.fields["class"] == "once"]
 
 
 def test_deadlines_come_from_the_settings() -> None:
     with deployment(Engine(mode="silent"), classes=CLASSES) as running:
         answer = running.client().ask(query("lookup", ttl=60_000))
         assert answer.sqlstate == "58000"
-        assert 0 < int(running.engines[0].done[0].fields["wait"]) <= 900
+        assert 0 < int(running.engines[0].queries[0].fields["wait"]) <= 900
 
 
 @pytest.mark.parametrize(
@@ -57,27 +57,29 @@
     }
     gateway = Gateway(json.loads(json.dumps(config)), tmp_path)
     try:
-        assert gateway.process.wait(PATIENCE_S) == 1
-        assert len(gateway.text().splitlines()) == 1 and "can't be used" in gateway.text()
+        assert gateway.process.wait(WAIT_TIMEOUT_S) == 1
+        assert len(gateway.log_text().splitlines()) == 1 and "can't be used" in gateway.log_text()
     finally:
-        gateway.end()
+        gateway.kill()
 
 
 def test_the_engine_list_is_followed_again_while_idle_clients_use_all_descriptors() -> None:
     with deployment(Engine("s-1"), Engine("s-2"), sockets=64) as running:
-        wait_for(lambda: running.bulletin.asked)
-        running.bulletin.mute = True
+        wait_for(lambda: running.bulletin.requested_events)
+        running.bulletin.muted = True
         idle = [Client(running.port, start=False) for _ in range(60)]
-        asked = len(running.bulletin.asked)
-        wait_for(lambda: len(running.bulletin.asked) > asked)  # a new request, which needs a descriptor
+        asked = len(running.bulletin.requested_events)
+        wait_for(
+            lambda: len(running.bulletin.requested_events) > asked
+        )  # a new request, which needs a descriptor
         idle += [Client(running.port, start=False) for _ in range(60)]
         running.bulletin.publish(running.engines[0].entry("leaving"))
-        running.bulletin.mute = False
+        running.bulletin.muted = False
 
         def moved() -> bool:
-            before = len(running.engines[0].done)
+            before = len(running.engines[0].queries)
             assert all(running.client().ask(query()).rows for _ in range(6))
-            return len(running.engines[0].done) == before
+            return len(running.engines[0].queries) == before
 
         wait_for(moved)
         for client in idle:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,21 +6,21 @@
 
 from whintrail.fleet import probe_reports
 from whintrail.interface import LoadReport
-from whintrail.standins.peers import Fleet, datagrams, fleet, lossy, split
+from whintrail.standins.gateway_fleet import GatewayFleet, datagram_socket, fleet, lossy, partition
 from whintrail.standins.scripted import Engine, query, wait_for
 
 
-def read_peer_counter(cluster: Fleet, number: int, name: str) -> int:
+def read_peer_counter(cluster: GatewayFleet, number: int, name: str) -> int:
     """Request the counters of a gateway by signal, and return one of the group `peers`."""
     gateway = cluster.gateways[number]
-    before = len(gateway.text())
+    before = len(gateway.log_text())
     gateway.signal(signal.SIGUSR1)
-    wait_for(lambda: "kind=counters" in gateway.text()[before:])
-    found = re.search(rf"event=peers.*\b{name}=(\d+)", gateway.text()[before:])
+    wait_for(lambda: "kind=counters" in gateway.log_text()[before:])
+    found = re.search(rf"event=peers.*\b{name}=(\d+)", gateway.log_text()[before:])
     return int(found[1]) if found else 0
 
 
-def query_all_gateways(cluster: Fleet, times: int = 5) -> None:
+def query_all_gateways(cluster: GatewayFleet, times: int = 5) -> None:
     for number in range(len(cluster.gateways)):
         client = cluster.client(number)
         for _ in range(times):
@@ -38,30 +38,30 @@
 
 def test_a_partitioned_fleet_keeps_serving_without_cross_partition_traffic() -> None:
     with fleet(3, Engine("s-1"), Engine("s-2")) as cluster:
-        cluster.relay.fault = split({0, 1}, {2})
-        cluster.relay.passed.clear()
+        cluster.relay.fault = partition({0, 1}, {2})
+        cluster.relay.delivered.clear()
         query_all_gateways(cluster)
-        wait_for(lambda: cluster.relay.passed[0, 1] + cluster.relay.passed[1, 0] > 0)
+        wait_for(lambda: cluster.relay.delivered[0, 1] + cluster.relay.delivered[1, 0] > 0)
         query_all_gateways(cluster)
-        assert not any(2 in pair for pair in cluster.relay.passed)
+        assert not any(2 in pair for pair in cluster.relay.delivered)
 
 
 def test_lost_duplicated_and_delayed_datagrams_are_harmless() -> None:
     with fleet(3, Engine("s-1"), Engine("s-2")) as cluster:
-        cluster.relay.fault = lossy(0.3, most_s=0.2, doubled=0.3)
+        cluster.relay.fault = lossy(0.3, max_delay_s=0.2, duplicate_share=0.3)
         query_all_gateways(cluster, times=20)
-        wait_for(lambda: sum(cluster.relay.passed.values()) > 0)
+        wait_for(lambda: sum(cluster.relay.delivered.values()) > 0)
         cluster.gateways[1].process.kill()  # without state, while the others go on
-        cluster.gateways[1].end()
+        cluster.gateways[1].kill()
         cluster.gateways[1] = cluster.start(1)
-        wait_for(lambda: cluster.ready(1))
+        wait_for(lambda: cluster.is_ready(1))
         query_all_gateways(cluster)
 
 
 def test_datagrams_from_strangers_and_invalid_ones_are_dropped() -> None:
     engine = Engine("s-1")
-    with fleet(2, engine) as cluster, datagrams() as stranger:
-        target, known_peer = cluster.relay.homes[0], cluster.relay.fronts[1]
+    with fleet(2, engine) as cluster, datagram_socket() as stranger:
+        target, known_peer = cluster.relay.gateway_addresses[0], cluster.relay.front_sockets[1]
         report = probe_reports.encode(
             [
                 probe_reports.ProbeReport(
@@ -84,10 +84,10 @@
 def test_a_gateway_whose_peer_address_is_in_use_serves_without_peers() -> None:
     with fleet(2, Engine("s-1")) as cluster:
         cluster.gateways[1].process.kill()
-        cluster.gateways[1].end()
+        cluster.gateways[1].kill()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as occupied:
-            occupied.bind(cluster.relay.homes[1])
+            occupied.bind(cluster.relay.gateway_addresses[1])
             cluster.gateways[1] = cluster.start(1)
-            wait_for(lambda: cluster.ready(1))
+            wait_for(lambda: cluster.is_ready(1))
             query_all_gateways(cluster)
-            wait_for(lambda: "no talk among gateways" in cluster.gateways[1].text())
+            wait_for(lambda: "no talk among gateways" in cluster.gateways[1].log_text())
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -11,8 +11,8 @@
 import pytest
 
 from whintrail.standins.scripted import (
-    PATIENCE_S,
     ROOT,
+    WAIT_TIMEOUT_S,
     Client,
     Gateway,
     deployment,
@@ -25,7 +25,7 @@
 
 
 class FilteredGateway(Gateway):
-    under = FILTER_COMMAND
+    command_prefix = FILTER_COMMAND
 
 
 pytestmark = pytest.mark.skipif(platform.machine() != "x86_64", reason="the filter is for x86-64")
@@ -47,7 +47,7 @@
         capture_output=True,
         text=True,
         cwd=ROOT,
-        timeout=PATIENCE_S,
+        timeout=WAIT_TIMEOUT_S,
     )
     assert process.returncode == 1 and error in process.stderr
 
@@ -59,7 +59,7 @@
         capture_output=True,
         text=True,
         cwd=ROOT,
-        timeout=PATIENCE_S,
+        timeout=WAIT_TIMEOUT_S,
     )
     assert process.stdout == "ran\n"
 
@@ -70,17 +70,17 @@
             port = free_listener.getsockname()[1]
         gateway = FilteredGateway({**cluster.config, "listen": f"127.0.0.1:{port}"}, Path(folder))
         try:
-            wait_for(lambda: "serves on" in gateway.text())
+            wait_for(lambda: "serves on" in gateway.log_text())
             client = Client(port)
             assert client.ask(query()).rows
             gateway.signal(signal.SIGHUP)
-            wait_for(lambda: "taken, bulletin" in gateway.text())
+            wait_for(lambda: "taken, bulletin" in gateway.log_text())
             assert client.ask(query()).rows
             client.close()
             gateway.signal(signal.SIGTERM)
-            assert gateway.process.wait(PATIENCE_S) == 0
+            assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
         finally:
-            gateway.end()
+            gateway.kill()
 
 
 def test_the_run_command_replaces_the_shell_by_exec() -> None:
--- a/tests/test_rough_clients.py
+++ b/tests/test_rough_clients.py
@@ -39,7 +39,9 @@
         assert silent[0].file.read() == b""
 
 
-@pytest.mark.parametrize("first", [b"", b"\0\0", Client.startup(), Client.startup() + b"Q\0\0\1\0/* op="])
+@pytest.mark.parametrize(
+    "first", [b"", b"\0\0", Client.startup_message(), Client.startup_message() + b"Q\0\0\1\0/* op="]
+)
 def test_a_client_without_a_complete_query_is_disconnected_in_time(first: bytes) -> None:
     with deployment() as cluster:
         start = time.monotonic()
@@ -57,7 +59,7 @@
         time.sleep(2.5)
         assert client.ask(query()).rows
         start = time.monotonic()
-        client.sock.sendall(Client.simple(query())[:-1])
+        client.sock.sendall(Client.simple_query(query())[:-1])
         assert b"FATAL" in client.file.read()
         assert 1.0 < time.monotonic() - start < 2.8
 
@@ -75,7 +77,7 @@
                 asked = time.monotonic()
                 assert other.ask(query()).rows
                 assert time.monotonic() - asked < 1.0
-            assert client.answer().sqlstate == "54000"
+            assert client.read_answer().sqlstate == "54000"
         assert time.monotonic() - start < 6.0
 
 
@@ -107,7 +109,7 @@
         ((session, _),) = sessions.sessions.values()
         reference = weakref.ref(session)
         del session
-        client_side.sendall(Client.startup() + Client.simple(";"))
+        client_side.sendall(Client.startup_message() + Client.simple_query(";"))
         await asyncio.sleep(0.05)
         assert client_side.recv(4096) and reference() is not None
         client_side.close()
--- a/tests/test_scale_fitting.py
+++ b/tests/test_scale_fitting.py
@@ -12,7 +12,7 @@
 
 from whintrail.cli.root import root
 from whintrail.scale.fitting import FitError, fit
-from whintrail.scale.results import Sample, sample, save, this_machine
+from whintrail.scale.results import Sample, current_machine, sample, save_results
 
 SIZES = (20, 80, 200, 800, 3000, 8000, 15_000)
 SPREAD = (0.97, 1.0, 1.03)
@@ -134,7 +134,7 @@
 
 def test_the_command_prints_a_row_a_quantity_and_refuses_what_is_no_results_file(tmp_path: Path) -> None:
     path = tmp_path / "some.json"
-    save(path, "a command", 0.0, this_machine(), samples(lambda x: 5 + 3 * x), "")
+    save_results(path, "a command", 0.0, current_machine(), samples(lambda x: 5 + 3 * x), "")
     found = CliRunner().invoke(root, ["scale", "fit", str(path)])
     assert found.exit_code == 0
     assert "cost_us" in found.output
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -12,138 +12,140 @@
 
 from whintrail.cli import main
 from whintrail.scale.auditor import Auditor
-from whintrail.scale.hollow import digest_of
+from whintrail.scale.hollow import digest_names
 from whintrail.scale.plan import PlanError, read_sweep
-from whintrail.scale.results import load
+from whintrail.scale.results import load_results
 from whintrail.versions.lease import Phase, VersionLease
 from whintrail.versions.rules import Rules
 
 ROOT = Path(__file__).resolve().parent.parent
 SMALL = ROOT / "deploy" / "scale" / "small.jsonnet"
-T = 1_350_000
-LEASE = 1_200_000
+MAX_OVERLAP_US = 1_350_000
+LEASE_US = 1_200_000
 
 
 # --- The auditor alone. Times are microseconds.
 
 
-def auditor(gateways: int = 3) -> Auditor:
-    found = Auditor(gateways, T)
+def build_auditor(gateways: int = 3) -> Auditor:
+    found = Auditor(gateways, MAX_OVERLAP_US)
     for number in range(gateways):
-        found.told("up", number, 0, 1)
+        found.record_event("up", number, 0, 1)
     return found
 
 
-def member(found: Auditor, number: int, acting: VersionLease, until: int, heeds_lapses: bool) -> None:
+def play_gateway(
+    auditor: Auditor, number: int, lease: VersionLease, end_us: int, respects_expiry: bool
+) -> None:
     """A gateway's turns, each 50 ms, telling the auditor as hollow ones do."""
     told: tuple[str, bool] | None = None
-    for now in range(0, until, 50_000):
-        rule = acting.active_version(now)
-        acts = rule.label, rule.leased or not heeds_lapses
+    for now in range(0, end_us, 50_000):
+        rule = lease.active_version(now)
+        acts = rule.label, rule.leased or not respects_expiry
         if acts != told:
             told = acts
-            found.told("rule", number, now, *acts)
+            auditor.record_event("rule", number, now, *acts)
 
 
 @pytest.mark.parametrize("heeds_lapses", [True, False])
-def test_one_that_ignores_the_end_of_its_lease_is_caught(heeds_lapses: bool) -> None:
+def test_a_gateway_that_ignores_its_lease_expiry_is_a_breach(heeds_lapses: bool) -> None:
     """n0 is cut off with a lease on version 0; the others go on to version 1, after T, as a leader must."""
-    found = auditor()
+    found = build_auditor()
     cut_off = VersionLease()
-    cut_off.renew(0, Phase.SETTLED, LEASE, {0: Rules()})
-    member(found, 0, cut_off, 10_000_000, heeds_lapses)
+    cut_off.renew(0, Phase.SETTLED, LEASE_US, {0: Rules()})
+    play_gateway(found, 0, cut_off, 10_000_000, heeds_lapses)
     for number in (1, 2):
-        found.told("rule", number, 0, "0", True)
-        found.told("rule", number, 200_000, "0>1", True)
-        found.told("rule", number, 200_000 + T, "1", True)
+        found.record_event("rule", number, 0, "0", True)
+        found.record_event("rule", number, 200_000, "0>1", True)
+        found.record_event("rule", number, 200_000 + MAX_OVERLAP_US, "1", True)
     found.check_rules(10_000_000)
     assert bool(found.breaches) is not heeds_lapses
 
 
 @pytest.mark.parametrize("skipped", [None, 3])
-def test_one_that_skips_a_delta_is_caught(skipped: int | None) -> None:
-    found = auditor()
+def test_a_gateway_that_skips_a_delta_is_a_breach(skipped: int | None) -> None:
+    found = build_auditor()
     ready = [f"s-{number}" for number in range(10)]
-    digests = {1: digest_of(ready)}
-    found.publish(1, 1000, digests[1])
+    digests = {1: digest_names(ready)}
+    found.record_published(1, 1000, digests[1])
     for generation in range(2, 6):
-        digests[generation] = digest_of(ready[generation:])
-        found.publish(generation, generation * 1000, digests[generation])
+        digests[generation] = digest_names(ready[generation:])
+        found.record_published(generation, generation * 1000, digests[generation])
     for number in range(3):
         for generation in range(1, 6):
             if (number, generation) != (1, skipped):
-                found.told("list", number, generation * 1000 + 10 * number, generation, 0)
+                found.record_event("list", number, generation * 1000 + 10 * number, generation, 0)
     found.check_lists(10_000_000, 1_000_000)
     assert [("n1" in b and "generation 3" in b) for b in found.breaches] == ([True] if skipped else [])
     assert sorted(found.list_delays())[-1] == 20
 
 
-def test_another_list_under_the_same_generation_is_caught() -> None:
-    found = auditor()
-    found.publish(1, 0, digest_of(["a", "b"]))
-    found.check_digests([(0, 1, digest_of(["b", "a"])), (1, 1, digest_of(["a"]))])
+def test_a_different_list_under_the_same_generation_is_a_breach() -> None:
+    found = build_auditor()
+    found.record_published(1, 0, digest_names(["a", "b"]))
+    found.check_digests([(0, 1, digest_names(["b", "a"])), (1, 1, digest_names(["a"]))])
     assert found.breaches == ["n1 holds another list under generation 1"]
 
 
-def test_nothing_is_expected_of_one_that_was_down_or_has_not_had_time() -> None:
-    found = auditor()
-    found.went_down(2, 500)
-    found.publish(1, 1000)
-    found.told("list", 0, 1100, 1, 0)
+def test_no_breach_for_gateways_that_were_down_or_still_have_time() -> None:
+    found = build_auditor()
+    found.record_down(2, 500)
+    found.record_published(1, 1000)
+    found.record_event("list", 0, 1100, 1, 0)
     found.check_lists(1_000_000, 1_000_000)  # n1 has time yet
     assert found.breaches == []
     found.check_lists(3_000_000, 1_000_000)
     assert found.breaches == ["n1 never had generation 1 of the list"]
 
 
-def test_an_engine_that_too_few_keep_is_caught() -> None:
-    found = auditor()
-    found.check_kept([["a", "b"], ["a", "b"], ["b", "c"]], {"a", "b"}, 2)
+def test_an_engine_with_too_few_holders_is_a_breach() -> None:
+    found = build_auditor()
+    found.check_holders([["a", "b"], ["a", "b"], ["b", "c"]], {"a", "b"}, 2)
     assert found.breaches == []
-    found.check_kept([["a", "b"], ["a"], ["b"]], {"a", "b", "c"}, 2)
+    found.check_holders([["a", "b"], ["a"], ["b"]], {"a", "b", "c"}, 2)
     assert found.breaches == ["1 engines are kept by fewer than 2 gateways: c by 0"]
 
 
-def test_whom_each_takes_for_gone_is_held_against_what_was_done() -> None:
-    found = auditor(4)
-    found.went_down(3, 100)
-    found.check_alive({0: [3], 1: [], 2: [3, 0], 3: [0, 1, 2]}, 200)
+def test_each_gateways_view_of_departed_members_is_checked() -> None:
+    found = build_auditor(4)
+    found.record_down(3, 100)
+    found.check_members({0: [3], 1: [], 2: [3, 0], 3: [0, 1, 2]}, 200)
     assert found.breaches == [
         "n1 takes n3 for alive, which is down (1)",
         "n2 takes n0 for gone, which is up (1)",
     ]
 
 
-def test_a_stopped_process_decides_nothing_and_one_goes_back_to_no_older_version() -> None:
-    found = auditor(2)
-    found.told("rule", 0, 0, "0", True)
-    found.told("rule", 1, 0, "0", True)
-    found.stop(0, 100_000)
-    found.told("rule", 1, 200_000, "1", True)
-    found.go_on(0, 9_000_000)
-    found.told("rule", 0, 9_050_000, "0", False)
+def test_stopped_time_is_excluded_and_an_older_version_is_a_breach() -> None:
+    found = build_auditor(2)
+    found.record_event("rule", 0, 0, "0", True)
+    found.record_event("rule", 1, 0, "0", True)
+    found.record_stopped(0, 100_000)
+    found.record_event("rule", 1, 200_000, "1", True)
+    found.record_continued(0, 9_000_000)
+    found.record_event("rule", 0, 9_050_000, "0", False)
     found.check_rules(10_000_000)
     assert found.breaches == []
-    found.told("rule", 1, 9_100_000, "0", True)
+    found.record_event("rule", 1, 9_100_000, "0", True)
     assert found.breaches == ["n1 went back from version 1 to 0, leased"]
 
 
-def test_in_force_counts_from_the_proposal_and_a_new_process_begins_anew() -> None:
-    found = auditor(2)
-    found.told("rule", 0, 1_000, "1", True)
-    found.told("rule", 1, 3_000, "1", True)
-    assert found.in_force("1", 500) == {0: 500, 1: 2_500}
-    assert found.missing("1", 4_000) == []
-    found.told("up", 1, 5_000, 2)
-    assert found.missing("1", 6_000) == [1]
-    found.told("rule", 1, 7_000, "0", True)  # what a new process knows at first
+def test_in_force_delays_count_from_the_proposal_and_a_restart_resets_them() -> None:
+    found = build_auditor(2)
+    found.record_event("rule", 0, 1_000, "1", True)
+    found.record_event("rule", 1, 3_000, "1", True)
+    assert found.in_force_delays("1", 500) == {0: 500, 1: 2_500}
+    assert found.gateways_not_acting_by("1", 4_000) == []
+    found.record_event("up", 1, 5_000, 2)
+    assert found.gateways_not_acting_by("1", 6_000) == [1]
+    found.record_event("rule", 1, 7_000, "0", True)  # what a new process knows at first
     assert found.breaches == []
 
 
 # --- Files.
 
 
-def test_a_file_that_cannot_be_used_names_the_place(tmp_path: Path) -> None:
+def test_an_invalid_file_error_names_the_field(tmp_path: Path) -> None:
     file = tmp_path / "bad.jsonnet"
     file.write_text("{ sizes: [{ name: 'x', gateways: 5000, engines: 1 }] }")
     with pytest.raises(PlanError, match=r"gateways.*4000"):
@@ -158,10 +160,10 @@
 # --- The run.
 
 
-def test_a_small_size_is_whole_and_without_a_breach(tmp_path: Path) -> None:
+def test_the_small_size_completes_without_a_breach(tmp_path: Path) -> None:
     to = tmp_path / "run.json"
     assert main(["scale", "run", str(SMALL), "--seconds", "120", "--to", str(to)]) == 0
-    found = {(s.quantity, s.day, s.role): s for s in load(to).samples}
+    found = {(s.quantity, s.day, s.role): s for s in load_results(to).samples}
     assert all(s.value == 0 for (name, _, _), s in found.items() if name == "breaches")
     assert found["version_in_force_s", "changes", "gateway"].n >= 1
     assert found["list_apply_s", "changes", "gateway"].n >= 12
@@ -169,7 +171,7 @@
     assert found["memo_datagrams_per_s", "steady", "gateway"].value > 0
 
 
-def test_a_bound_ends_the_run_by_itself_with_one_line_and_no_process(
+def test_a_memory_limit_ends_the_run_with_one_line_and_no_process(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     before = {child.pid for child in psutil.Process().children(recursive=True)}
--- a/tests/test_scale_simulate.py
+++ b/tests/test_scale_simulate.py
@@ -4,7 +4,7 @@
 
 from click.testing import CliRunner
 
-from whintrail.scale.results import load
+from whintrail.scale.results import load_results
 from whintrail.scale.simulate import simulate
 
 
@@ -17,7 +17,7 @@
 
 def test_a_small_fleet_is_played_and_its_figures_are_kept(tmp_path: Path) -> None:
     run(tmp_path / "a.json", "--part", "quiet", "--part", "changes")
-    results = load(tmp_path / "a.json")
+    results = load_results(tmp_path / "a.json")
     found = {(s.quantity, s.role): s.value for s in results.samples}
     assert results.note == ""
     assert all(s.kind == "simulated" and s.gateways == 12 for s in results.samples)
@@ -30,7 +30,7 @@
     for name, bound in (("cpu-seconds", "0.001"), ("memory-mb", "1")):
         output = run(tmp_path / "b.json", f"--{name}", bound)
         assert f"12 gateways, seed 1, ended early: --{name} {bound} used" in output
-        assert "ended early" in load(tmp_path / "b.json").note
+        assert "ended early" in load_results(tmp_path / "b.json").note
 
 
 def test_sizes_without_anybody_outside_the_council_are_refused() -> None:
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -14,7 +14,7 @@
 from whintrail.fleet import probe_reports
 from whintrail.gateway.bulletin import read_entry
 from whintrail.scale.deployment import Deployment
-from whintrail.scale.results import Sample, load
+from whintrail.scale.results import Sample, load_results
 from whintrail.scale.slopes import merged
 from whintrail.scale.slopes_memos import HEADERS, Play
 from whintrail.scale.slopes_module import Alone
@@ -51,7 +51,7 @@
     path = tmp_path_factory.mktemp("slopes") / "slopes.json"
     found = CliRunner().invoke(root, ["scale", "slopes", *SMALL, "--seconds", "60", "--to", str(path)])
     assert found.exit_code == 0, found.output
-    return load(path).samples
+    return load_results(path).samples
 
 
 def test_a_small_run_gives_every_quantity_with_its_unit_and_a_positive_value(taken: list[Sample]) -> None:
@@ -76,7 +76,7 @@
 def test_what_is_counted_is_what_the_real_parts_send(taken: list[Sample]) -> None:
     """Of counts, what must hold whatever the machine: the line's length, keys, leases, a part of 1/n."""
     value = {(s.quantity, s.role, s.gateways, s.engines): s.value for s in taken}
-    assert value["list_line_bytes", "gateway", 200, 60] == len(Deployment(200, 60).whole_line())
+    assert value["list_line_bytes", "gateway", 200, 60] == len(Deployment(200, 60).full_list_line())
     assert value["cold_part", "gateway", 16, 0] == 1 / 16
     assert value["leader_lease_answered", "leader", 16, 0] == 1.0  # few enough for what it may send
     asks = value["lease_asks_per_s", "gateway", 16, 0]
@@ -94,7 +94,7 @@
     given += ["--played-engines", "20,40", "--played-gateways", "5,10", "--part", "module", "--part", "memos"]
     found = CliRunner().invoke(root, ["scale", "slopes", *given, "--seconds", "60", "--to", str(path)])
     assert found.exit_code == 0, found.output
-    part = load(path).samples
+    part = load_results(path).samples
     assert {one.subset for one in part} == {8}
     assert {one.quantity for one in part} <= {one.quantity for one in taken}
     (whole,) = (s.value for s in taken if s.quantity == "module_bytes" and s.engines == 60)
@@ -111,7 +111,7 @@
     found = CliRunner().invoke(root, ["scale", "slopes", *SMALL, *bound, "--to", str(path)])
     assert found.exit_code == 1
     assert word in found.output.splitlines()[-1]
-    assert "was not run" in load(path).note
+    assert "was not run" in load_results(path).note
 
 
 def test_a_filter_on_the_list_stands_in_front_of_the_module() -> None:
@@ -125,12 +125,14 @@
 
 def test_the_lists_of_a_deployment_are_what_a_gateway_reads() -> None:
     deployment = Deployment(4, 300)
-    entries = deployment.listed().entries
+    entries = deployment.engine_list().entries
     assert len({entry.engine for entry in entries}) == 300
     assert {entry.zone for entry in entries} == set(deployment.zone_names())
     assert all(entry.state is api.EngineState.READY for entry in entries)
-    assert read_entry(deployment.item(3, "left"))[0].state is api.EngineState.REMOVED
-    assert {work.name for work in deployment.work} == {cls.name for cls in deployment.settings().classes}
+    assert read_entry(deployment.list_item(3, "left"))[0].state is api.EngineState.REMOVED
+    assert {work.name for work in deployment.query_classes} == {
+        cls.name for cls in deployment.settings().classes
+    }
 
 
 def test_the_same_seed_plays_the_same_and_all_hear_what_one_tells() -> None:
--- a/tests/test_simulated_growth.py
+++ b/tests/test_simulated_growth.py
@@ -30,16 +30,16 @@
     SlotRequest,
     VersionRequest,
 )
-from whintrail.standins.simulated import Process, World, sound
+from whintrail.standins.fleet_simulation import FleetSimulation, Process, deliver_once
 from whintrail.versions.member import VersionTiming
 from whintrail.versions.rules import Rules
 
 ZONES = ("a", "b", "c")
 ENGINES = {f"e{n}": EngineAvailability(ZONES[n % 3]) for n in range(12)}
-LISTS = 3  # so many generations of the list there are in a run
+LIST_GENERATIONS = 3  # so many generations of the list there are in a run
 
 
-class Overheard(World):
+class DigestingSimulation(FleetSimulation):
     """Keeps a digest of every datagram: when it was sent, by whom, to whom, and its bytes."""
 
     def __init__(self, given: Callable[[int, str], FleetConfig], count: int, seed: int) -> None:
@@ -63,7 +63,7 @@
         return process
 
 
-def settings(count: int, number: int, build: str) -> FleetConfig:
+def fleet_config(count: int, number: int, build: str) -> FleetConfig:
     return FleetConfig(
         "f",
         number,
@@ -78,13 +78,13 @@
     )
 
 
-def wish(world: World, number: int, change: Change) -> None:
+def submit_change(world: FleetSimulation, number: int, change: Change) -> None:
     world.node(number).submit(world.clock(number), change, 6, True)
 
 
-def listed(world: World, random: Random, generation: int) -> None:
+def publish_engine_list(world: FleetSimulation, random: Random, generation: int) -> None:
     """A bulletin that reaches most gateways: those that it doesn't learn from the others."""
-    for number in world.up():
+    for number in world.running_numbers():
         if random.random() < 0.8:
             lists = world.node(number).settings
             assert lists is not None
@@ -92,61 +92,61 @@
             lists.engine_list.apply_event(world.clock(number), generation, True, entries)
 
 
-def lossy(share: float, origin: int, target: int, random: Random) -> list[float]:
-    if random.random() < share:
+def lossy(loss_share: float, origin: int, target: int, random: Random) -> list[float]:
+    if random.random() < loss_share:
         return []
     return [random.random() * 0.2, 0.3] if random.random() < 0.1 else [random.random() * 0.05]
 
 
-def apart(zone: int, origin: int, target: int, random: Random) -> list[float]:
+def isolate_zone(zone: int, origin: int, target: int, random: Random) -> list[float]:
     return [] if (origin % 3 == zone) != (target % 3 == zone) else [0.0]
 
 
-def played(count: int, seed: int) -> tuple[int, str]:
+def run_scenario(count: int, seed: int) -> tuple[int, str]:
     """A run with changes of all kinds, losses, a zone cut off, members killed, stopped and ended."""
     random = Random(seed)
-    world = Overheard(partial(settings, count), count, seed)
+    world = DigestingSimulation(partial(fleet_config, count), count, seed)
     world.run(4)
-    listed(world, random, 1)
+    publish_engine_list(world, random, 1)
     for turn in range(3):
         others = random.sample(range(5, count), 8)
         proposer = world.node(others[0])
         assert proposer.settings is not None
         body = Rules(caps={"report": turn + 5}, homes={str(n): n % count for n in range(40 * turn)})
         digest = proposer.settings.member.store_rules(body)
-        wish(world, others[0], VersionRequest(proposer.state.versions.number + 1, digest, ""))
-        wish(world, others[1], SlotRequest(world.node(others[1]).boot_id, "old"))
-        wish(world, others[2], DrainRequest(f"e{turn}", "", 0, False))
+        submit_change(world, others[0], VersionRequest(proposer.state.versions.number + 1, digest, ""))
+        submit_change(world, others[1], SlotRequest(world.node(others[1]).boot_id, "old"))
+        submit_change(world, others[2], DrainRequest(f"e{turn}", "", 0, False))
         match turn:
             case 0:
                 world.fault = partial(lossy, 0.3)
-                wish(world, others[3], ReleaseRequest("new", (100, 500, 1000), ""))
+                submit_change(world, others[3], ReleaseRequest("new", (100, 500, 1000), ""))
             case 1:
-                world.fault = partial(apart, 1)
-                wish(world, others[3], ReleaseStatusRequest(HALTED, ""))
+                world.fault = partial(isolate_zone, 1)
+                submit_change(world, others[3], ReleaseStatusRequest(HALTED, ""))
             case 2:
                 world.fault = partial(lossy, 0.05)
-                wish(world, others[3], ReleaseStatusRequest(RUNNING, ""))
+                submit_change(world, others[3], ReleaseStatusRequest(RUNNING, ""))
         world.run(1.5)
         leader = world.leader()
         victim = others[4] if leader is None or turn != 1 else leader
         world.kill(victim)
-        world.stop(others[5], 2.5)
+        world.pause(others[5], 2.5)
         leaves = world.node(others[6])
         leaves.leave(world.clock(others[6]))
         world.run(1)
         world.kill(others[6])
-        world.busy = {(others[7], f"e{turn}"): 1}
+        world.open_attempts = {(others[7], f"e{turn}"): 1}
         world.run(9)  # long enough for suspicions to end
-        world.fault, world.busy = sound, {}
-        listed(world, random, turn + 2)
+        world.fault, world.open_attempts = deliver_once, {}
+        publish_engine_list(world, random, turn + 2)
         world.start(victim)
         world.start(others[6], "new")
         world.run(5)
     return world.datagrams, world.digest.hexdigest()
 
 
-RECORDED = {
+EXPECTED_DATAGRAMS = {
     (14, 1): (9988, "c2698161752bdfa2"),
     (14, 2): (9753, "99790f9c1f328cf1"),
     (14, 3): (10149, "f81135cceb8fa9a4"),
@@ -156,51 +156,53 @@
 
 
 @pytest.mark.parametrize(("count", "seed"), [(14, 1), (14, 2), (14, 3), (40, 4), (40, 5)])
-def test_the_same_datagrams_are_sent_as_when_all_members_were_looked_through(count: int, seed: int) -> None:
-    assert played(count, seed) == RECORDED[count, seed]
+def test_datagrams_match_those_of_the_full_member_scan(count: int, seed: int) -> None:
+    assert run_scenario(count, seed) == EXPECTED_DATAGRAMS[count, seed]
 
 
-class Looked(list[Any]):
+class CountingList(list[Any]):
     """Counts how many of its items are looked at, one by one or in a scan."""
 
-    looks = 0
+    reads = 0
 
     def __getitem__(self, place: Any) -> Any:
-        Looked.looks += 1
+        CountingList.reads += 1
         return super().__getitem__(place)
 
     def __iter__(self) -> Iterator[Any]:
         for item in super().__iter__():
-            Looked.looks += 1
+            CountingList.reads += 1
             yield item
 
 
-def looked_at(count: int) -> tuple[int, int]:
+def count_member_reads(count: int) -> tuple[int, int]:
     """Members looked at, and events, in two quiet seconds of a fleet of so many with leases and lists."""
-    world = World(partial(settings, count), count, 9, dict(ENGINES))
-    world.acquaint()
+    world = FleetSimulation(partial(fleet_config, count), count, 9, dict(ENGINES))
+    world.assume_all_known()
     assert world.run(15, lambda: world.leader() is not None)
-    listed(world, Random(9), 1)
+    publish_engine_list(world, Random(9), 1)
     world.run(3)
-    for number in world.up():
+    for number in world.running_numbers():
         members = world.node(number).membership
-        members.members = Looked(members.members)
+        members.members = CountingList(members.members)
         numbers = members.by_state.numbers
         for life in numbers:
-            numbers[life] = Looked(numbers[life])
-    Looked.looks, events = 0, world.numbered
+            numbers[life] = CountingList(numbers[life])
+    CountingList.reads, events = 0, world.events_scheduled
     world.run(2)
-    return Looked.looks, world.numbered - events
+    return CountingList.reads, world.events_scheduled - events
 
 
-def test_what_a_quiet_fleet_looks_at_grows_no_more_than_it_does() -> None:
-    small, large = looked_at(40), looked_at(160)
+def test_member_reads_of_a_quiet_fleet_grow_linearly() -> None:
+    small, large = count_member_reads(40), count_member_reads(160)
     for few, many in zip(small, large, strict=True):
         assert 0 < many < 4.4 * few  # a scan of all by all would be 16 times as many
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30)), max_size=300), st.integers(2, 6))
-def test_news_are_told_in_the_order_of_a_sorted_dictionary(steps: list[tuple[bool, int]], most: int) -> None:
+def test_updates_are_sent_in_the_order_of_a_sorted_dictionary(
+    steps: list[tuple[bool, int]], most: int
+) -> None:
     news, plain = UpdateQueue(), dict[int, int]()
     for tells, number in steps:
         if tells:
@@ -223,9 +225,7 @@
     st.lists(st.tuples(st.integers(0, 9), st.sampled_from(MemberState)), max_size=60),
     st.sets(st.integers(0, 11)),
 )
-def test_numbers_by_life_are_those_that_a_scan_finds(
-    steps: list[tuple[int, MemberState]], left_out: set[int]
-) -> None:
+def test_numbers_by_state_match_a_full_scan(steps: list[tuple[int, MemberState]], left_out: set[int]) -> None:
     by_life, plain = MembersByState(10), [MemberState.GONE] * 10
     for number, life in steps:
         by_life.move(number, plain[number], life)
@@ -241,7 +241,7 @@
         assert Random(seed).sample(without, len(rest) // 2) == Random(seed).sample(rest, len(rest) // 2)
 
 
-def test_what_a_member_holds_does_not_grow_with_restarts() -> None:
+def test_member_state_does_not_grow_with_restarts() -> None:
     core = Membership(0, 5, 1, 1, 0, Random(1))
 
     def held() -> int:
--- a/tests/test_subset_gateway.py
+++ b/tests/test_subset_gateway.py
@@ -14,7 +14,7 @@
 from whintrail.config.records import OperatorFile, Subset
 from whintrail.fleet import probe_reports
 from whintrail.gateway.subset import PlanError, SubsetService, read_plan
-from whintrail.standins.peers import Fleet, fleet
+from whintrail.standins.gateway_fleet import GatewayFleet, fleet
 from whintrail.standins.scripted import Engine, Gateway, configuration, query, wait_for
 from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
@@ -250,14 +250,14 @@
     config = configuration("n0", 1, "127.0.0.1:1", [])
     gateway = Gateway(config, tmp_path, WHINTRAIL_FILE=str(file))
     assert gateway.process.wait(15) == 1
-    assert "of a fleet of 1" in gateway.text()
+    assert "of a fleet of 1" in gateway.log_text()
 
 
 # --- Processes.
 
 
 @contextmanager
-def subset_fleet() -> Iterator[tuple[Fleet, list[SubsetAssignment]]]:
+def subset_fleet() -> Iterator[tuple[GatewayFleet, list[SubsetAssignment]]]:
     """Six gateway processes with about eight of 24 engines each, and the subsets as computed here."""
     engines = [Engine(f"s-{number}") for number in range(ENGINES)]
     with fleet(GATEWAYS, *engines, operator=lambda number, build: {"subset": SUBSET_SETTINGS}) as processes:
@@ -272,22 +272,22 @@
         yield processes, subsets
 
 
-def ask(processes: Fleet, number: int, times: int) -> None:
+def ask(processes: GatewayFleet, number: int, times: int) -> None:
     client = processes.client(number)
     for _ in range(times):
         assert client.ask(query()).rows
     client.close()
 
 
-def engines_used(processes: Fleet) -> set[str]:
-    return {engine.name for engine in processes.engines if engine.done}
+def engines_used(processes: GatewayFleet) -> set[str]:
+    return {engine.name for engine in processes.engines if engine.queries}
 
 
 def test_each_gateway_sends_to_its_subset_and_receives_drains() -> None:
     with subset_fleet() as (processes, subsets):
         for number in range(GATEWAYS):
             for item in processes.engines:
-                item.done.clear()
+                item.queries.clear()
             ask(processes, number, 30)
             assert len(engines_used(processes)) > 1
             assert engines_used(processes) <= set(subsets[number].kept)
@@ -297,11 +297,11 @@
         engines = {item.name: item for item in processes.engines}
         processes.bulletin.publish(*(engines[name].entry("leaving") for name in kept[1:]))
         for item in processes.engines:
-            item.done.clear()
+            item.queries.clear()
 
         def only_remaining_used() -> bool:
             for item in processes.engines:
-                item.done.clear()
+                item.queries.clear()
             ask(processes, 0, 8)
             return engines_used(processes) == {remaining}
 
@@ -312,14 +312,14 @@
     with subset_fleet() as (processes, subsets):
         for number in range(GATEWAYS):
             ask(processes, number, 10)
-        wait_for(lambda: len(processes.relay.passed) >= 4)
+        wait_for(lambda: len(processes.relay.delivered) >= 4)
         sharing = {
             (a, b)
             for a in range(GATEWAYS)
             for b in range(GATEWAYS)
             if a != b and set(subsets[a].kept) & set(subsets[b].kept)
         }
-        assert set(processes.relay.passed) <= sharing
+        assert set(processes.relay.delivered) <= sharing
 
 
 def test_an_engine_whose_holders_all_died_is_used_again_when_one_returns() -> None:
@@ -328,17 +328,17 @@
         holders = subsets[0].holders_of(name)
         for number in holders:
             processes.gateways[number].process.kill()
-            processes.gateways[number].end()
+            processes.gateways[number].kill()
         others = [number for number in range(GATEWAYS) if number not in holders]
         for number in others:
             ask(processes, number, 10)  # they go on serving without it
         item = next(e for e in processes.engines if e.name == name)
-        assert not item.done
+        assert not item.queries
         processes.gateways[holders[0]] = processes.start(holders[0])
-        wait_for(lambda: processes.ready(holders[0]))
+        wait_for(lambda: processes.is_ready(holders[0]))
 
         def reached() -> bool:
             ask(processes, holders[0], 10)
-            return bool(item.done)
+            return bool(item.queries)
 
         wait_for(reached)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -43,7 +43,7 @@
     try:
         yield deployment
     finally:
-        deployment.end()
+        deployment.close()
 
 
 def stop_gateway(deployment: Deployment) -> None:
@@ -61,17 +61,17 @@
         deployment.bulletin.publish(second.entry("leaving"))
         time.sleep(0.3)
         stop_gateway(deployment)
-        assert "event=timeline" in deployment.gateway.text()
+        assert "event=timeline" in deployment.gateway.log_text()
     with Reader.open(tmp_path / "store") as reader:
         for server in (first, second):
             rows = list(reader.rows(server.name))
-            assert sum(row.kind is Kind.SENT for row in rows) == len(server.done)
-            assert sum(row.kind is Kind.ENDED for row in rows) == len(server.done)
+            assert sum(row.kind is Kind.SENT for row in rows) == len(server.queries)
+            assert sum(row.kind is Kind.ENDED for row in rows) == len(server.queries)
         descriptions = [row.describe(reader.classes) for row in reader.rows("s-2")]
     assert "listed as draining" in descriptions and any(
         "drained" in description for description in descriptions
     )
-    assert len(first.done) + len(second.done) == 40
+    assert len(first.queries) + len(second.queries) == 40
     assert main(["timeline", "verify", "--store", str(tmp_path / "store")]) == 0
 
 
@@ -79,7 +79,7 @@
     (tmp_path / "file").write_text("")
     with running_gateway(tmp_path, Engine(), store={"directory": str(tmp_path / "file")}) as deployment:
         assert deployment.client().ask(query()).rows
-        assert "the store is off" in deployment.gateway.text()
+        assert "the store is off" in deployment.gateway.log_text()
 
 
 def test_a_bad_operators_file_at_the_start_and_on_sighup(tmp_path: Path) -> None:
@@ -87,12 +87,12 @@
     with running_gateway(tmp_path, Engine(), memory_mb=1) as deployment:
         path.write_text('{"timeline": {"memory_mb": "much"}}')
         deployment.gateway.signal(signal.SIGHUP)
-        wait_for(lambda: "the old operator's file stays in force" in deployment.gateway.text())
-        assert "$.timeline.memory_mb" in deployment.gateway.text()
+        wait_for(lambda: "the old operator's file stays in force" in deployment.gateway.log_text())
+        assert "$.timeline.memory_mb" in deployment.gateway.log_text()
         assert deployment.client().ask(query()).rows
         path.write_text('{"logging": {"format": "json"}, "timeline": {"memory_mb": 1}}')
         deployment.gateway.signal(signal.SIGHUP)
-        wait_for(lambda: '"event":"operator\'s file taken' in deployment.gateway.text())
+        wait_for(lambda: '"event":"operator\'s file taken' in deployment.gateway.log_text())
         assert deployment.client().ask(query()).rows
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -9,9 +9,9 @@
 from whintrail.fleet.membership import MemberState
 from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.wire import VersionRequest
-from whintrail.standins.leases import Variant, look
-from whintrail.standins.rules import RuleAuditor
-from whintrail.standins.simulated import World, sound
+from whintrail.standins.fleet_simulation import FleetSimulation, deliver_once
+from whintrail.standins.lease_model import Variant, explore_leases
+from whintrail.standins.rule_audit import RuleAuditor
 from whintrail.versions.engine_list import EngineListState, ListComparison
 from whintrail.versions.lease import Phase, VersionLease
 from whintrail.versions.member import VersionMember, VersionTiming
@@ -40,8 +40,8 @@
 
 
 def test_a_new_member_gets_its_lease_before_it_knows_most_members() -> None:
-    world = World(lambda n, b: FleetConfig("f", n, 60, (0, 1, 2), versions=VersionTiming()), 60, 7)
-    world.acquaint()
+    world = FleetSimulation(lambda n, b: FleetConfig("f", n, 60, (0, 1, 2), versions=VersionTiming()), 60, 7)
+    world.assume_all_known()
     assert world.run(20, lambda: world.leader() is not None)
     world.run(3)
     leader = world.leader()
@@ -135,8 +135,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_change_is_in_force_everywhere_soon_after_it_was_proposed(seed: int) -> None:
-    world = World(lambda n, b: FleetConfig("f", n, 60, (0, 1, 2), versions=VersionTiming()), 60, seed)
-    world.acquaint()
+    world = FleetSimulation(
+        lambda n, b: FleetConfig("f", n, 60, (0, 1, 2), versions=VersionTiming()), 60, seed
+    )
+    world.assume_all_known()
     assert world.run(20, lambda: world.leader() is not None)
     world.run(3)
     for number in (1, 2):
@@ -146,7 +148,7 @@
         node.submit(world.clock(20 + number), VersionRequest(number, digest, ""), 10, True)
 
         def is_in_force(number: int = number) -> bool:
-            services = [world.node(n).settings for n in world.up()]
+            services = [world.node(n).settings for n in world.running_numbers()]
             active = [
                 s.member.lease.active_version(world.clock(n)) for n, s in enumerate(services) if s is not None
             ]
@@ -205,13 +207,13 @@
 TIMING = VersionTiming()
 
 
-def start_world(count: int = 7, seed: int = 1, drift: float = 0.01) -> tuple[World, RuleAuditor]:
+def start_world(count: int = 7, seed: int = 1, drift: float = 0.01) -> tuple[FleetSimulation, RuleAuditor]:
     def make_node(number: int, build: str) -> FleetConfig:
         return FleetConfig(
             "f", number, count, (0, 1, 2), versions=TIMING, messages_per_s=900, bytes_per_s=200_000
         )
 
-    world = World(make_node, count, seed, drift=drift)
+    world = FleetSimulation(make_node, count, seed, drift=drift)
     assert world.run(8, lambda: world.leader() is not None)
     world.run(2)
     auditor = RuleAuditor(world)
@@ -219,13 +221,13 @@
     return world, auditor
 
 
-def member_of(world: World, number: int) -> VersionMember:
+def member_of(world: FleetSimulation, number: int) -> VersionMember:
     service = world.node(number).settings
     assert service is not None
     return service.member
 
 
-def propose(world: World, gateway: int, rules: Rules, seconds: float = 5.0) -> int:
+def propose(world: FleetSimulation, gateway: int, rules: Rules, seconds: float = 5.0) -> int:
     """Propose on a gateway; returns the status of the answer."""
     node, member = world.node(gateway), member_of(world, gateway)
     request = VersionRequest(node.state.versions.number + 1, member.store_rules(rules), "")
@@ -240,10 +242,10 @@
     return statuses[0] if statuses else 2
 
 
-def in_force(world: World, rules: Rules) -> bool:
+def in_force(world: FleetSimulation, rules: Rules) -> bool:
     """Whether the rules are in force on every running process."""
-    active = [member_of(world, n).lease.active_version(world.clock(n)) for n in world.up()]
-    settled = all(world.node(n).state.versions.next is None for n in world.up())
+    active = [member_of(world, n).lease.active_version(world.clock(n)) for n in world.running_numbers()]
+    settled = all(world.node(n).state.versions.next is None for n in world.running_numbers())
     return settled and all(version.leased and version.rules == canonicalize(rules) for version in active)
 
 
@@ -262,7 +264,7 @@
         ),
     )
     assert world.run(3, lambda: in_force(world, second))
-    assert auditor.longest_us <= TIMING.max_divergence_us and auditor.apart <= 2
+    assert auditor.longest_divergence_us <= TIMING.max_divergence_us and auditor.max_distinct_rules <= 2
     assert world.state().versions.number == 2
 
 
@@ -279,7 +281,7 @@
     assert sorted(statuses)[:1] == [0] and statuses.count(0) == 1  # one of the two is accepted
     expected = large if status == 0 else other
     assert world.run(60, lambda: in_force(world, expected))
-    assert auditor.longest_us <= TIMING.max_divergence_us
+    assert auditor.longest_divergence_us <= TIMING.max_divergence_us
 
 
 def test_a_veto_drops_the_proposal_with_its_reason() -> None:
@@ -298,12 +300,12 @@
     first, second = Rules(caps={"report": 5}), Rules(shut=("e1",))
     assert propose(world, 4, first) == 0 and world.run(4, lambda: in_force(world, first))
     assert propose(world, 4, second) == 0
-    world.stop(6, seconds)
+    world.pause(6, seconds)
     world.run(seconds)
-    active = auditor.rule(6)
+    active = auditor.active_version(6)
     assert active is None or not active.leased or active.rules != first or seconds < 1.5
     assert world.run(15, lambda: in_force(world, second))
-    assert auditor.longest_us <= TIMING.max_divergence_us
+    assert auditor.longest_divergence_us <= TIMING.max_divergence_us
 
 
 def test_a_minority_uses_the_stricter_merge_and_catches_up_after_the_partition() -> None:
@@ -315,11 +317,11 @@
     world.run(6)  # until the two are considered removed
     assert propose(world, 4, second) == 0
     assert world.run(8, lambda: world.state().versions.number == 2)
-    active = auditor.rule(6)
+    active = auditor.active_version(6)
     assert active is not None and not active.leased and active.rules == first  # no older version to merge
-    world.fault = sound
+    world.fault = deliver_once
     assert world.run(8, lambda: in_force(world, second))
-    assert auditor.longest_us <= TIMING.max_divergence_us
+    assert auditor.longest_divergence_us <= TIMING.max_divergence_us
 
 
 def test_proposer_or_leader_crash_at_each_step() -> None:
@@ -341,7 +343,7 @@
             assert versions.next is None, (victim, step)
             if versions.number:
                 assert in_force(world, rules)
-            assert auditor.longest_us <= TIMING.max_divergence_us
+            assert auditor.longest_divergence_us <= TIMING.max_divergence_us
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -349,12 +351,12 @@
     random = Random(seed)
     world, auditor = start_world(count=9, seed=seed)
     for step in range(20):
-        world.fault = sound
+        world.fault = deliver_once
         if random.random() < 0.4:
             loss = random.choice([0.05, 0.2])
             world.fault = lambda a, b, r, loss=loss: [] if r.random() < loss else [r.random() * 0.05]  # type: ignore[misc]
         if random.random() < 0.3:
-            world.stop(random.randrange(9), random.random() * 4)
+            world.pause(random.randrange(9), random.random() * 4)
         if random.random() < 0.3:
             victim = random.randrange(9)
             world.kill(victim)
@@ -364,10 +366,10 @@
             homes={"1": random.randrange(9)},
             shut=tuple(random.sample(["e1", "e2", "e3"], random.randrange(3))),
         )
-        propose(world, random.choice(world.up()), rules, 3)
+        propose(world, random.choice(world.running_numbers()), rules, 3)
         world.run(random.random() * 4)
-        assert auditor.longest_us <= TIMING.max_divergence_us, step
-    world.fault = sound
+        assert auditor.longest_divergence_us <= TIMING.max_divergence_us, step
+    world.fault = deliver_once
     world.run(20)
     assert world.state().versions.number >= 5
 
@@ -377,12 +379,12 @@
 
 @pytest.mark.parametrize("broken", ["no_lease", "from_answer", "no_between", "settles_early", "on_proposal"])
 def test_the_model_detects_broken_variants(broken: str) -> None:
-    _, violations, _ = look(Variant(**{broken: True}), 60_000)
+    _, violations, _ = explore_leases(Variant(**{broken: True}), 60_000)
     assert violations
 
 
 def test_the_model_finds_no_violation_in_the_implementation() -> None:
-    _, violations, _ = look(Variant(), 60_000)  # all 644,447 states: docs/results.md
+    _, violations, _ = explore_leases(Variant(), 60_000)  # all 644,447 states: docs/results.md
     assert not violations
 
 
@@ -395,7 +397,7 @@
     world.run(10)
     assert propose(world, 4, second) == 0
     world.run(8)
-    assert auditor.longest_us > TIMING.max_divergence_us
+    assert auditor.longest_divergence_us > TIMING.max_divergence_us
 
 
 def test_auditor_detects_a_lease_counted_from_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -412,4 +414,4 @@
     world.fault = lambda a, b, _: [4.0] if b == 6 else [0.0]
     assert propose(world, 4, second) == 0
     world.run(10)
-    assert auditor.longest_us > TIMING.max_divergence_us
+    assert auditor.longest_divergence_us > TIMING.max_divergence_us
--- a/tests/test_versions_processes.py
+++ b/tests/test_versions_processes.py
@@ -13,7 +13,7 @@
 
 from tests.test_fleet import FleetRig
 from whintrail.cli import main
-from whintrail.standins.peers import fleet, lossy, sound, split
+from whintrail.standins.gateway_fleet import deliver_once, fleet, lossy, partition
 from whintrail.standins.scripted import Answer, Bulletin, Engine, query, wait_for
 
 
@@ -61,7 +61,7 @@
         for number in range(4):
             assert ask_gateway(rig, number, query("report")).sqlstate == "53000"
             assert ask_gateway(rig, number, query()).rows
-        assert not rig.fleet.engines[0].done
+        assert not rig.fleet.engines[0].queries
         assert main(["settings", "back", "0", *socket_args]) == 0
         wait_for(lambda: in_force(rig, 2, range(4)))
         assert all(ask_gateway(rig, number, query("report")).rows for number in range(4))
@@ -107,9 +107,9 @@
         propose(rig, 0, {"paused": ["once", "report"]})
         os.kill(process.pid, signal.SIGSTOP)
         time.sleep(3.0)
-        client.send(query("once"))  # stays in its socket buffer
+        client.send_query(query("once"))  # stays in its socket buffer
         os.kill(process.pid, signal.SIGCONT)
-        assert client.answer().sqlstate == "53000"  # by the merge of the last versions it knew
+        assert client.read_answer().sqlstate == "53000"  # by the merge of the last versions it knew
         client.close()
         wait_for(lambda: in_force(rig, 2, range(4)))
         assert ask_gateway(rig, 3, query("report")).sqlstate == "53000"
@@ -117,17 +117,17 @@
 
 def test_a_minority_keeps_serving_and_a_restarted_gateway_catches_up(tmp_path: Path) -> None:
     with start_rig(tmp_path, size=5) as rig:
-        rig.fleet.relay.fault = lossy(0.2, most_s=0.02)
+        rig.fleet.relay.fault = lossy(0.2, max_delay_s=0.02)
         propose(rig, 4, {"caps": {"lookup": 7}})
         wait_for(lambda: in_force(rig, 1, range(5)))
-        rig.fleet.relay.fault = split({0, 4}, {1, 2, 3})
+        rig.fleet.relay.fault = partition({0, 4}, {1, 2, 3})
         rig.wait_for_leader(excluded=0)
         wait_for(lambda: not rig.request(4, "settings")["leased"])
         assert ask_gateway(rig, 4, query()).rows
         propose(rig, 4, {"caps": {"lookup": 1}}, "later")
         rig.kill(2)
         rig.start(2)  # without state
-        rig.fleet.relay.fault = sound
+        rig.fleet.relay.fault = deliver_once
         wait_for(lambda: in_force(rig, 1, range(5)))
         assert rig.request(2, "settings")["rules"]["caps"] == {"lookup": 7}
 
@@ -135,23 +135,23 @@
 def test_a_gateway_with_a_late_bulletin_takes_only_exclusions_from_peers(tmp_path: Path) -> None:
     with start_rig(tmp_path) as rig:
         one, two = rig.fleet.engines
-        late_bulletin = rig.fleet.own[3] = Bulletin()
+        late_bulletin = rig.fleet.bulletin_overrides[3] = Bulletin()
         late_bulletin.publish(one.entry(), two.entry(), reset=True)
         rig.kill(3)
         rig.start(3)
-        late_bulletin.mute = True
+        late_bulletin.muted = True
         shared_bulletin = rig.fleet.bulletin
         shared_bulletin.publish(one.entry("leaving"))  # the second generation
         wait_for(lambda: rig.request(3, "lists")["shut_by_others"] == ["s-1"])
-        done_before = len(one.done)
+        done_before = len(one.queries)
         client = rig.fleet.client(3)
         assert all(client.ask(query()).rows for _ in range(10))
         client.close()
-        assert len(one.done) == done_before
+        assert len(one.queries) == done_before
         wait_for(lambda: rig.request(3, "lists")["old"])
         assert not rig.request(0, "lists")["old"]
         late_bulletin.publish(one.entry("leaving"))
-        late_bulletin.mute = False
+        late_bulletin.muted = False
         wait_for(lambda: rig.request(3, "lists")["shut_by_others"] == [])
         assert rig.request(3, "lists")["digest"] == rig.request(0, "lists")["digest"]
         late_bulletin.publish(one.entry(), reset=True)  # its third generation is another list
@@ -173,7 +173,7 @@
             processes.gateways[0].signal(signal.SIGHUP)
 
         reload({"rules": {"paused": ["none such"]}})
-        wait_for(lambda: "no such class here" in processes.gateways[0].text())
+        wait_for(lambda: "no such class here" in processes.gateways[0].log_text())
         assert client.ask(query("report")).sqlstate == "53000"
         reload({"rules": {"caps": {"lookup": 0}}})
         wait_for(lambda: client.ask(query()).sqlstate == "53000")
@@ -189,5 +189,5 @@
         data = json.loads(file.read_text())
         file.write_text(json.dumps({**data, "rules": {"paused": ["report"]}}))
         rig.fleet.gateways[2].signal(signal.SIGHUP)
-        wait_for(lambda: "rules of the file differ" in rig.fleet.gateways[2].text())
+        wait_for(lambda: "rules of the file differ" in rig.fleet.gateways[2].log_text())
         assert ask_gateway(rig, 2, query("report")).rows
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -6,7 +6,7 @@
 import pytest
 
 from whintrail.scale import ways
-from whintrail.scale.results import Sample, load
+from whintrail.scale.results import Sample, load_results
 
 ROOT = Path(__file__).parents[1]
 GATEWAYS, ENGINES, KEEP = 60, 240, 16
@@ -45,7 +45,7 @@
 
 def test_the_page_quotes_the_file() -> None:
     found: dict[str, dict[str, Sample]] = {}
-    for one in load(ROOT / "docs/capacity/ways.json").samples:
+    for one in load_results(ROOT / "docs/capacity/ways.json").samples:
         if one.gateways == 4000 and one.kind == "simulated":
             found.setdefault(one.note, {})[one.quantity] = one
     page = (ROOT / "docs/subset.md").read_text(encoding="utf-8").splitlines()
--- a/whintrail/cli/demo.py
+++ b/whintrail/cli/demo.py
@@ -11,7 +11,7 @@
 
 import click
 
-from whintrail.standins.fleet import Fleet
+from whintrail.standins.engine_fleet import EngineFleet
 
 CONNECT_RETRY_S = 0.05
 
@@ -24,7 +24,7 @@
 
 
 async def _run(engines: int, port: int, operator_file: str | None, seconds: float | None) -> int:
-    fleet = Fleet(engines)
+    fleet = EngineFleet(engines)
     port = port or _free_port()
     with tempfile.TemporaryDirectory(prefix="whintrail-") as folder:
         path = Path(folder, "config.json")
@@ -60,7 +60,7 @@
 
 async def _wait_until_serving(port: int, process_ended: "asyncio.Task[int]") -> bool:
     """Whether the gateway accepts sessions; False if its process has ended."""
-    from whintrail.standins.load import LoadClient
+    from whintrail.standins.load_generator import LoadClient
 
     while not process_ended.done():
         client = LoadClient(port)
--- a/whintrail/scale/capacity.py
+++ b/whintrail/scale/capacity.py
@@ -18,12 +18,12 @@
 from whintrail.scale.fitting import Fit, FitError, fit
 from whintrail.scale.results import Kind, Sample
 
-Grows = Literal["engines", "gateways"]
-Along = Literal["engines", "gateways", "both", "neither"]
-Stat = Literal["value", "high"]
+Dimension = Literal["engines", "gateways"]
+RowDimension = Literal["engines", "gateways", "both", "neither"]
+Statistic = Literal["value", "high"]
 # What no subset of engines touches: membership, agreement, the list until it is read. The gateway's update it
 # lessens: without a figure of its own, that of all engines is the most.
-UNTOUCHED: tuple[str, ...] = (
+SUBSET_INDEPENDENT_PREFIXES: tuple[str, ...] = (
     "membership_",
     "node_",
     "log_",
@@ -33,9 +33,9 @@
     "list_digest_",
     "leader_",
 )
-UNTOUCHED += ("gateway_update_",)
-WIDE = 2.0  # times the value: a range wider than that says that the sizes taken don't tell
-BEYOND = 10.0  # sizes are looked through up to so many times the one that is coming
+SUBSET_INDEPENDENT_PREFIXES += ("gateway_update_",)
+WIDE_RANGE_RATIO = 2.0  # times the value: a range wider than that says that the sizes taken don't tell
+SEARCH_LIMIT_FACTOR = 10.0  # sizes are looked through up to so many times the one that is coming
 
 
 class NotMeasured(LookupError):
@@ -54,110 +54,114 @@
         return Estimate(self.value + other.value, self.low + other.low, self.high + other.high)
 
     @property
-    def wide(self) -> bool:
+    def is_wide(self) -> bool:
         """Its range is so wide that it tells nothing."""
-        return not math.isfinite(self.high) or self.high - self.low > WIDE * self.value
+        return not math.isfinite(self.high) or self.high - self.low > WIDE_RANGE_RATIO * self.value
 
-    def __mul__(self, by: float) -> "Estimate":
+    def __mul__(self, factor: float) -> "Estimate":
         """By a figure above 0."""
-        return Estimate(self.value * by, self.low * by, self.high * by)
+        return Estimate(self.value * factor, self.low * factor, self.high * factor)
 
 
-def exactly(value: float) -> Estimate:
+def exact(value: float) -> Estimate:
     return Estimate(value, value, value)
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class MeasurementKey:
     """Which measured quantity, over which size; `high`: its 95th or 99th hundredth, not its median."""
 
     quantity: str
-    grows_with: Grows
+    grows_with: Dimension
     kind: Kind | None = None
     role: str | None = None
     note: str | None = None
-    stat: Stat = "value"
+    stat: Statistic = "value"
     day: str = "steady"
 
 
-class Figures:
+class FitCache:
     """Fits of all samples, each made once. `subset`: engines that each gateway keeps; 0: all."""
 
     def __init__(self, samples: Sequence[Sample], subset: int = 0) -> None:
         self.samples, self.subset = list(samples), subset
-        self.fits: dict[Use, Fit | None] = {}
+        self.fits: dict[MeasurementKey, Fit | None] = {}
 
-    def fit(self, use: Use) -> Fit:
+    def fit(self, key: MeasurementKey) -> Fit:
         """Errors: NotMeasured."""
-        if use not in self.fits:
-            samples = [s for s in self.samples if s.quantity == use.quantity]
-            if use.stat == "high":
-                samples = [_at_high(s) for s in samples]
-            self.fits[use] = self._fit(samples, use)
-        if (found := self.fits[use]) is None:
-            raise NotMeasured(use.quantity)
+        if key not in self.fits:
+            samples = [s for s in self.samples if s.quantity == key.quantity]
+            if key.stat == "high":
+                samples = [_with_high_as_value(s) for s in samples]
+            self.fits[key] = self._fit(samples, key)
+        if (found := self.fits[key]) is None:
+            raise NotMeasured(key.quantity)
         return found
 
-    def _fit(self, samples: list[Sample], use: Use) -> Fit | None:
+    def _fit(self, samples: list[Sample], key: MeasurementKey) -> Fit | None:
         subset = self.subset
-        if subset and not any(s.subset == subset for s in samples) and use.quantity.startswith(UNTOUCHED):
+        if (
+            subset
+            and not any(s.subset == subset for s in samples)
+            and key.quantity.startswith(SUBSET_INDEPENDENT_PREFIXES)
+        ):
             subset = 0
-        given = {"kind": use.kind, "role": use.role, "subset": subset, "note": use.note, "day": use.day}
+        given = {"kind": key.kind, "role": key.role, "subset": subset, "note": key.note, "day": key.day}
         try:
-            return fit(samples, use.quantity, use.grows_with, **given)  # type: ignore[arg-type]
+            return fit(samples, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
         except FitError:
             if not subset:
                 return None
         # With a subset both sizes may have grown in step, so that a gateway's part stays as large.
-        other = "gateways" if use.grows_with == "engines" else "engines"
+        other = "gateways" if key.grows_with == "engines" else "engines"
         stepped = [replace(s, **{other: 0}) for s in samples]
         try:
-            return fit(stepped, use.quantity, use.grows_with, **given)  # type: ignore[arg-type]
+            return fit(stepped, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
         except FitError:
             return None
 
 
-def _at_high(s: Sample) -> Sample:
+def _with_high_as_value(s: Sample) -> Sample:
     return replace(s, value=s.high, low=s.high)
 
 
 @dataclass(slots=True)
-class Size:
+class EvaluationPoint:
     """So many gateways before so many engines; remembers which measured quantities were asked for."""
 
     gateways: float
     engines: float
-    figures: Figures
-    used: list[Use] = field(default_factory=list)
+    fit_cache: FitCache
+    used_keys: list[MeasurementKey] = field(default_factory=list)
 
-    def measured(
+    def estimate(
         self,
         quantity: str,
-        grows_with: Grows,
+        grows_with: Dimension,
         *,
         kind: Kind = "core",
         role: str | None = None,
         note: str | None = None,
-        stat: Stat = "value",
+        stat: Statistic = "value",
         day: str = "steady",
     ) -> Estimate:
         """Errors: NotMeasured."""
-        use = Use(quantity, grows_with, kind, role, note, stat, day)
-        if use not in self.used:
-            self.used.append(use)
+        use = MeasurementKey(quantity, grows_with, kind, role, note, stat, day)
+        if use not in self.used_keys:
+            self.used_keys.append(use)
         x = self.engines if grows_with == "engines" else self.gateways
-        found = self.figures.fit(use)
+        found = self.fit_cache.fit(use)
         value, low, high = found.at(x)
         if value < 0 and x > max(found.sizes):  # nothing is: the curve has left what it was taken of
             return Estimate(0.0, 0.0, math.inf)
         return Estimate(max(0.0, value), max(0.0, low), max(0.0, high))
 
-    def slope(self, quantity: str, grows_with: Grows, kind: Kind = "core") -> Estimate:
+    def estimate_slope(self, quantity: str, grows_with: Dimension, kind: Kind = "core") -> Estimate:
         """What one engine or gateway more adds, of a line. Errors: NotMeasured."""
-        use = Use(quantity, grows_with, kind)
-        if use not in self.used:
-            self.used.append(use)
-        found = self.figures.fit(use)
+        use = MeasurementKey(quantity, grows_with, kind)
+        if use not in self.used_keys:
+            self.used_keys.append(use)
+        found = self.fit_cache.fit(use)
         return Estimate(found.slope, found.slope - 2 * found.slope_error, found.slope + 2 * found.slope_error)
 
 
@@ -167,138 +171,152 @@
 
     key: str  # names it in files and in the ranking
     role: str
-    what: str
+    description: str
     unit: str
-    along: Along
-    value: Callable[[Size], Estimate]
+    grows_with: RowDimension
+    evaluate: Callable[[EvaluationPoint], Estimate]
     budget: float | None
     budget_name: str
-    place: str  # file and name of what carries it today; "" where nothing does
+    code_path: str  # file and name of what carries it today; "" where nothing does
     formula: str  # slope x what it grows with, in words, where paces come in
-    mend: str = ""  # where no mechanism is missing: the setting, or the few lines, that mend it; not ranked
-    total: bool = False  # a sum of other rows, which are ranked themselves
+    remedy: str = ""  # where no mechanism is missing: the setting, or the few lines, that mend it; not ranked
+    is_total: bool = False  # a sum of other rows, which are ranked themselves
 
 
 @dataclass(frozen=True, slots=True)
-class Crossing:
+class BudgetCrossing:
     """The smallest size at which a budget is passed; None: at none up to `BEYOND` times the coming size."""
 
     size: float | None  # engines or gateways; of both: gateways
-    share: float  # of the way from today's size to the one that is coming; inf: at none; never below 0
+    growth_progress: (
+        float  # of the way from today's size to the one that is coming; inf: at none; never below 0
+    )
     earliest: float | None  # by the upper end of the range
     latest: float | None
-    taken: tuple[int, int] | None = None  # the least and the greatest size of what it rests on; None: all
+    measured_range: tuple[int, int] | None = (
+        None  # the least and the greatest size of what it rests on; None: all
+    )
 
     @property
-    def below(self) -> bool:
+    def is_below_measured(self) -> bool:
         """At the least size that was taken it is passed already: how much sooner is not known."""
-        return self.size is not None and self.taken is not None and self.size <= self.taken[0]
+        return (
+            self.size is not None and self.measured_range is not None and self.size <= self.measured_range[0]
+        )
 
     @property
-    def sure(self) -> bool:
+    def is_certain(self) -> bool:
         """Between sizes that were taken, or beyond them by the lower end of the range too."""
         if self.size is None:
             return False
-        return self.latest is not None or self.taken is None or self.size <= self.taken[1]
+        return self.latest is not None or self.measured_range is None or self.size <= self.measured_range[1]
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class RowResult:
     """What a row comes to."""
 
     row: Row
     value: Estimate | None
     missing: str  # the quantity that was not measured; empty where none is
-    crossing: Crossing | None
-    used: tuple[Use, ...]
-    beyond: bool = False  # the sizes at which what it rests on was taken
+    crossing: BudgetCrossing | None
+    used_keys: tuple[MeasurementKey, ...]
+    is_extrapolated: bool = False  # the sizes at which what it rests on was taken
 
     @property
-    def untold(self) -> bool:
+    def is_inconclusive(self) -> bool:
         """Beyond the sizes taken, and its range tells nothing."""
-        return self.value is not None and self.beyond and self.value.wide
+        return self.value is not None and self.is_extrapolated and self.value.is_wide
 
     @property
-    def passed(self) -> bool:
+    def is_exceeded(self) -> bool:
         """At the size that it was reckoned at; a range that tells nothing passes no budget, unless all of it
         does or it is passed for sure at a smaller size."""
         if self.value is None or self.row.budget is None or self.value.value <= self.row.budget:
             return False
-        sure = self.crossing is not None and self.crossing.sure
-        return not self.untold or self.value.low > self.row.budget or sure
+        sure = self.crossing is not None and self.crossing.is_certain
+        return not self.is_inconclusive or self.value.low > self.row.budget or sure
 
     @property
-    def share(self) -> float | None:
+    def budget_share(self) -> float | None:
         """Of the budget that is used."""
         return self.value.value / self.row.budget if self.value is not None and self.row.budget else None
 
 
-def today() -> tuple[float, float]:
-    return inputs.value("gateways_today"), inputs.value("engines_today")
+def current_size() -> tuple[float, float]:
+    return inputs.input_value("gateways_today"), inputs.input_value("engines_today")
 
 
-def coming() -> tuple[float, float]:
-    return inputs.value("gateways"), inputs.value("engines")
+def target_size() -> tuple[float, float]:
+    return inputs.input_value("gateways"), inputs.input_value("engines")
 
 
-def on_the_way(share: float) -> tuple[float, float]:
+def size_at_progress(progress: float) -> tuple[float, float]:
     """Gateways and engines at a share of the way from today's size to the one that is coming."""
-    (g0, e0), (g1, e1) = today(), coming()
-    return max(1.0, g0 + share * (g1 - g0)), max(1.0, e0 + share * (e1 - e0))
+    (g0, e0), (g1, e1) = current_size(), target_size()
+    return max(1.0, g0 + progress * (g1 - g0)), max(1.0, e0 + progress * (e1 - e0))
 
 
-def share_of_way(along: Along, size: float) -> float:
+def growth_progress(dimension: RowDimension, size: float) -> float:
     """Where a size lies between today's and the one that is coming; 0 where it is today's or below."""
-    place = 1 if along == "engines" else 0
-    begin, end = today()[place], coming()[place]
+    place = 1 if dimension == "engines" else 0
+    begin, end = current_size()[place], target_size()[place]
     return max(0.0, (size - begin) / (end - begin))
 
 
-def _sizes(along: Along) -> Callable[[float], tuple[float, float]]:
-    gateways, engines = coming()
-    if along == "engines":
+def _fleet_size_at(dimension: RowDimension) -> Callable[[float], tuple[float, float]]:
+    gateways, engines = target_size()
+    if dimension == "engines":
         return lambda x: (gateways, x)
-    if along == "gateways":
+    if dimension == "gateways":
         return lambda x: (x, engines)
-    return lambda x: on_the_way((x - today()[0]) / (gateways - today()[0]))
+    return lambda x: size_at_progress((x - current_size()[0]) / (gateways - current_size()[0]))
 
 
-def crossing(row: Row, figures: Figures) -> Crossing:
+def find_crossing(row: Row, fit_cache: FitCache) -> BudgetCrossing:
     """Errors: NotMeasured; ValueError where the row has no budget."""
     if row.budget is None:
         raise ValueError(f"{row.key}: no budget")
-    if row.along == "neither":
-        found = row.value(Size(*coming(), figures))
+    if row.grows_with == "neither":
+        found = row.evaluate(EvaluationPoint(*target_size(), fit_cache))
         over = found.value > row.budget
         size = 0.0 if over else None
-        return Crossing(size, 0.0 if over else math.inf, size, size)
-    to_size, budget = _sizes(row.along), row.budget
+        return BudgetCrossing(size, 0.0 if over else math.inf, size, size)
+    to_size, budget = _fleet_size_at(row.grows_with), row.budget
 
     @cache
     def at(x: float) -> Estimate:
-        return row.value(Size(*to_size(x), figures))
+        return row.evaluate(EvaluationPoint(*to_size(x), fit_cache))
 
     def passes(x: float, which: str) -> bool:
         return float(getattr(at(x), which)) > budget
 
-    most = BEYOND * coming()[1 if row.along == "engines" else 0]
+    most = SEARCH_LIMIT_FACTOR * target_size()[1 if row.grows_with == "engines" else 0]
     found_at = {which: _first(lambda x, w=which: passes(x, w), most) for which in ("value", "high", "low")}  # type: ignore[misc]
     size = found_at["value"]
-    share = math.inf if size is None else share_of_way(row.along, size)
-    used = Size(*coming(), figures)
-    row.value(used)
-    return Crossing(size, share, found_at["high"], found_at["low"], _taken(row.along, used.used, figures))
-
-
-def _taken(along: Along, used: Sequence[Use], figures: Figures) -> tuple[int, int] | None:
+    share = math.inf if size is None else growth_progress(row.grows_with, size)
+    used = EvaluationPoint(*target_size(), fit_cache)
+    row.evaluate(used)
+    return BudgetCrossing(
+        size,
+        share,
+        found_at["high"],
+        found_at["low"],
+        _measured_range(row.grows_with, used.used_keys, fit_cache),
+    )
+
+
+def _measured_range(
+    dimension: RowDimension, used_keys: Sequence[MeasurementKey], fit_cache: FitCache
+) -> tuple[int, int] | None:
     """The sizes between which all was taken that a row rests on."""
     ranges = []
-    for use in used:
-        if along in ("both", use.grows_with):
+    for use in used_keys:
+        if dimension in ("both", use.grows_with):
             with suppress(NotMeasured):  # another was taken in its place
-                sizes = figures.fit(use).sizes
+                sizes = fit_cache.fit(use).sizes
                 ranges.append((min(sizes), max(sizes)))
-    if not ranges or along in ("both", "neither"):
+    if not ranges or dimension in ("both", "neither"):
         return None
     return max(low for low, _ in ranges), min(high for _, high in ranges)
 
@@ -319,36 +337,36 @@
     return high
 
 
-def at_taken(
-    value: Callable[[Size], Estimate], used: Sequence[Use], figures: Figures
+def evaluate_at_largest_measured(
+    evaluate: Callable[[EvaluationPoint], Estimate], used_keys: Sequence[MeasurementKey], fit_cache: FitCache
 ) -> tuple[Estimate, tuple[float, float]]:
     """The value at the greatest gateways and engines, up to the coming ones, at which all was taken that it
     rests on. Errors: NotMeasured."""
-    sizes = {"gateways": coming()[0], "engines": coming()[1]}
-    for use in used:
+    sizes = {"gateways": target_size()[0], "engines": target_size()[1]}
+    for use in used_keys:
         with suppress(NotMeasured):  # another was taken in its place
-            sizes[use.grows_with] = min(sizes[use.grows_with], max(figures.fit(use).sizes))
+            sizes[use.grows_with] = min(sizes[use.grows_with], max(fit_cache.fit(use).sizes))
     at = sizes["gateways"], sizes["engines"]
-    return value(Size(*at, figures)), at
+    return evaluate(EvaluationPoint(*at, fit_cache)), at
 
 
-def is_beyond(size: Size) -> bool:
+def is_extrapolated(point: EvaluationPoint) -> bool:
     """Whether the size is greater than any at which something was taken that was asked for at it."""
-    for use in size.used:
+    for use in point.used_keys:
         with suppress(NotMeasured):  # another was taken in its place
-            if max(size.figures.fit(use).sizes) < getattr(size, use.grows_with):
+            if max(point.fit_cache.fit(use).sizes) < getattr(point, use.grows_with):
                 return True
     return False
 
 
-def find(row: Row, figures: Figures, size: tuple[float, float] | None = None) -> Found:
-    at = Size(*(size or coming()), figures)
+def evaluate_row(row: Row, fit_cache: FitCache, size: tuple[float, float] | None = None) -> RowResult:
+    at = EvaluationPoint(*(size or target_size()), fit_cache)
     try:
-        value = row.value(at)
-        where = crossing(row, figures) if row.budget is not None else None
+        value = row.evaluate(at)
+        where = find_crossing(row, fit_cache) if row.budget is not None else None
     except NotMeasured as error:
-        return Found(row, None, str(error), None, tuple(at.used))
-    return Found(row, value, "", where, tuple(at.used), is_beyond(at))
+        return RowResult(row, None, str(error), None, tuple(at.used_keys))
+    return RowResult(row, value, "", where, tuple(at.used_keys), is_extrapolated(at))
 
 
 # --- The ranking.
@@ -359,48 +377,50 @@
     """A mechanism that is missing, the rows that it would carry, and why it would."""
 
     name: str
-    carries: Mapping[str, str]  # a row's key: the reason
-    in_part: Mapping[str, str]  # the same, of rows that it eases; they are not counted
+    resolves: Mapping[str, str]  # a row's key: the reason
+    eases: Mapping[str, str]  # the same, of rows that it eases; they are not counted
     sources: str  # published ones
 
 
 @dataclass(frozen=True, slots=True)
-class Rank:
+class RankedCandidate:
     candidate: Candidate
-    first: Found  # of the failing rows that it carries, the one that fails at the smallest size
-    failing: tuple[Found, ...]  # all of them, the first to fail first
+    first_failing: RowResult  # of the failing rows that it carries, the one that fails at the smallest size
+    failing: tuple[RowResult, ...]  # all of them, the first to fail first
 
     @property
-    def share(self) -> float:
-        assert self.first.crossing is not None
-        return self.first.crossing.share
+    def growth_progress(self) -> float:
+        assert self.first_failing.crossing is not None
+        return self.first_failing.crossing.growth_progress
 
 
-def failing(found: Sequence[Found]) -> list[Found]:
+def failing_rows(row_results: Sequence[RowResult]) -> list[RowResult]:
     """Rows whose budget is passed on the way to the size that is coming, the first ones first; rows that fail
     at today's size already are equals and stay in the table's order. Sums, and what a setting mends, are left
     out: a mechanism would count twice by the first and for nothing by the second."""
-    late = [f for f in found if f.crossing is not None and f.crossing.share <= 1.0]
-    late = [f for f in late if f.crossing is not None and f.crossing.sure]
-    late = [f for f in late if not f.row.total and not f.row.mend]
-    return sorted(late, key=lambda f: f.crossing.share if f.crossing is not None else math.inf)
+    late = [f for f in row_results if f.crossing is not None and f.crossing.growth_progress <= 1.0]
+    late = [f for f in late if f.crossing is not None and f.crossing.is_certain]
+    late = [f for f in late if not f.row.is_total and not f.row.remedy]
+    return sorted(late, key=lambda f: f.crossing.growth_progress if f.crossing is not None else math.inf)
 
 
-def ranking(found: Sequence[Found], candidates: Sequence[Candidate]) -> list[Rank]:
+def rank_candidates(
+    row_results: Sequence[RowResult], candidates: Sequence[Candidate]
+) -> list[RankedCandidate]:
     """By the smallest size at which a row that it carries fails; of equals, who carries more failing rows."""
-    late = failing(found)
+    late = failing_rows(row_results)
     ranks = []
     for candidate in candidates:
-        carried = tuple(f for f in late if f.row.key in candidate.carries)
+        carried = tuple(f for f in late if f.row.key in candidate.resolves)
         if carried:
-            ranks.append(Rank(candidate, carried[0], carried))
-    return sorted(ranks, key=lambda rank: (rank.share, -len(rank.failing)))
+            ranks.append(RankedCandidate(candidate, carried[0], carried))
+    return sorted(ranks, key=lambda rank: (rank.growth_progress, -len(rank.failing)))
 
 
 # --- Paces that several rows share.
 
 
 @cache
-def per_s(name: str) -> float:
+def daily_rate_per_s(name: str) -> float:
     """An input counted a day, a second of it in the mean."""
-    return inputs.value(name) / 86_400
+    return inputs.input_value(name) / 86_400
