--- a/whintrail/scale/control.py
+++ b/whintrail/scale/control.py
@@ -17,47 +17,47 @@
 import orjson
 
 Handler = Callable[[dict[str, Any]], Any]  # the request's fields -> what JSON can hold, or an awaitable of it
-Start = Callable[[dict[str, Any]], Awaitable[tuple[Any, Mapping[str, Handler]]]]
+StartFunction = Callable[[dict[str, Any]], Awaitable[tuple[Any, Mapping[str, Handler]]]]
 
 
-class Control:
+class ControlChannel:
     """Takes requests in their order; one that waits does not hold up those behind it."""
 
-    def __init__(self, start: Start) -> None:
+    def __init__(self, start: StartFunction) -> None:
         self.handlers: dict[str, Handler] = {"start": self._start}
-        self.begin = start
-        self.data = bytearray()
-        self.ended = asyncio.get_running_loop().create_future()
+        self.start_child = start
+        self.received = bytearray()
+        self.closed = asyncio.get_running_loop().create_future()
         self.tasks: set[asyncio.Task[None]] = set()
         os.set_blocking(0, False)
-        asyncio.get_running_loop().add_reader(0, self._readable)
+        asyncio.get_running_loop().add_reader(0, self._on_readable)
 
     async def _start(self, fields: dict[str, Any]) -> Any:
-        ready, handlers = await self.begin(fields)
+        ready, handlers = await self.start_child(fields)
         self.handlers.update(handlers)
         return ready
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         try:
             chunk = os.read(0, 1 << 20)
         except BlockingIOError:
             return
         if not chunk:
             asyncio.get_running_loop().remove_reader(0)
-            if not self.ended.done():
-                self.ended.set_result(None)
+            if not self.closed.done():
+                self.closed.set_result(None)
             return
-        self.data += chunk
+        self.received += chunk
         if b"\n" not in chunk:
             return
-        *lines, rest = bytes(self.data).split(b"\n")
-        self.data = bytearray(rest)
+        *lines, rest = bytes(self.received).split(b"\n")
+        self.received = bytearray(rest)
         for line in lines:
-            task = asyncio.get_running_loop().create_task(self._take(orjson.loads(line)))
+            task = asyncio.get_running_loop().create_task(self._handle_request(orjson.loads(line)))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _take(self, request: dict[str, Any]) -> None:
+    async def _handle_request(self, request: dict[str, Any]) -> None:
         number = request.pop("id")
         try:
             answer = self.handlers[request.pop("do")](request)
@@ -71,7 +71,7 @@
             view = view[os.write(1, view) :]
 
 
-def serve(start: Start) -> None:
+def serve(start: StartFunction) -> None:
     """Run a child until its stdin ends: `start(config)` gives what to answer and the further handlers."""
     import uvloop
 
@@ -79,7 +79,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
 
     async def run() -> None:
-        await Control(start).ended
+        await ControlChannel(start).closed
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
--- a/whintrail/scale/fits.py
+++ b/whintrail/scale/fits.py
@@ -7,7 +7,7 @@
 
 from whintrail.cli.output import format_option, print_rows
 from whintrail.scale.fitting import FitError, Grows, fit
-from whintrail.scale.results import ResultsError, Sample, load
+from whintrail.scale.results import ResultsError, Sample, load_results
 
 COLUMNS = (
     "quantity", "kind", "role", "day", "subset", "grows_with", "form", "intercept", "slope", "slope_error",
@@ -55,7 +55,7 @@
     samples: list[Sample] = []
     for path in files:
         try:
-            samples += load(path).samples
+            samples += load_results(path).samples
         except ResultsError as error:
             raise click.ClickException(str(error)) from error
     print_rows(rows([s for s in samples if quantity in s.quantity]), COLUMNS, form)
--- a/whintrail/scale/host.py
+++ b/whintrail/scale/host.py
@@ -20,13 +20,13 @@
 from whintrail.gateway.limits import Limits
 from whintrail.gateway.log import Log
 from whintrail.scale.control import Handler, serve
-from whintrail.scale.hollow import Common, Event, HollowGateway, Meter, Reading
-from whintrail.scale.measure import StallWatch
+from whintrail.scale.hollow import EngineListFanout, GatewayEvent, HollowGateway, Meter, SharedContext
+from whintrail.scale.measure import LoopStallMonitor
 
-LEAVE_S = 0.1  # what a gateway that ends says goes out
+LEAVE_DELAY_S = 0.1  # what a gateway that ends says goes out
 
 
-class HostGiven(Struct, frozen=True, kw_only=True):
+class HostConfig(Struct, frozen=True, kw_only=True):
     numbers: list[int]  # of its gateways
     addresses: list[str]  # of all of the fleet
     zones: list[str]  # of each of the fleet
@@ -41,58 +41,58 @@
 
 
 class Host:
-    def __init__(self, given: HostGiven) -> None:
-        self.given = given
+    def __init__(self, config: HostConfig) -> None:
+        self.config = config
         self.loop = asyncio.get_running_loop()
         self.gateways: dict[int, HollowGateway] = {}
-        self.happened: list[Event] = []
+        self.pending_events: list[GatewayEvent] = []
         self.meter = Meter()
-        self.stalls = StallWatch(every_s=0.02)  # more often, it would itself be what is measured
-        self.reading = Reading(Clock(), self.gateways)
+        self.stalls = LoopStallMonitor(interval_s=0.02)  # more often, it would itself be what is measured
+        self.engine_list = EngineListFanout(Clock(), self.gateways)
         self.log = Log("hollow", 5.0, 1.0)
-        self.limits = Limits.read(given.config)
+        self.limits = Limits.read(config.config)
         # The reader puts into `Reading` as it would into an owner's inbox.
-        self.bulletin = BulletinClient(given.config, self.limits, self.reading, Counters(), self.log)  # type: ignore[arg-type]
-        setattr(self.bulletin, "take_line", self.meter.timed("read", self.bulletin.process_line))  # noqa: B010
-        where = [parse_address(text) for text in given.addresses]
-        self.common = Common(
-            config=given.config,
-            fleet=given.fleet,
+        self.bulletin = BulletinClient(config.config, self.limits, self.engine_list, Counters(), self.log)  # type: ignore[arg-type]
+        setattr(self.bulletin, "take_line", self.meter.wrap("read", self.bulletin.process_line))  # noqa: B010
+        where = [parse_address(text) for text in config.addresses]
+        self.common = SharedContext(
+            config=config.config,
+            fleet=config.fleet,
             addresses=where,
-            numbers={place: number for number, place in enumerate(where)},
-            zones=tuple(dict.fromkeys(given.zones)),
-            zone_of=given.zones.__getitem__,
-            queries_per_s=given.queries_per_s,
-            memos=given.memos,
+            gateway_numbers={place: number for number, place in enumerate(where)},
+            zones=tuple(dict.fromkeys(config.zones)),
+            zone_of=config.zones.__getitem__,
+            queries_per_s=config.queries_per_s,
+            sends_probe_reports=config.memos,
             log=self.log,
-            reading=self.reading,
-            spoke=lambda: self.bulletin.last_received_us,
-            tells=self.tells,
-            sockets=given.sockets,
-            subset=given.subset,
+            engine_list=self.engine_list,
+            bulletin_last_received=lambda: self.bulletin.last_received_us,
+            emit_event=self.emit_event,
+            socket_folder=config.sockets,
+            subset_size=config.subset,
         )
 
-    def tells(self, kind: str, number: int, *more: Any, at: int | None = None) -> None:
+    def emit_event(self, kind: str, number: int, *details: Any, at_us: int | None = None) -> None:
         """`at`: microseconds of the monotonic clock; now, where nothing is said."""
-        self.happened.append((kind, number, monotonic_us() if at is None else at, *more))
+        self.pending_events.append((kind, number, monotonic_us() if at_us is None else at_us, *details))
 
-    async def begin(self) -> None:
-        self.follows = self.loop.create_task(self.bulletin.run())
-        while self.reading.generation < self.given.whole_at:
+    async def start_all(self) -> None:
+        self.bulletin_task = self.loop.create_task(self.bulletin.run())
+        while self.engine_list.generation < self.config.whole_at:
             await asyncio.sleep(0.005)
-        await self._start(self.given.numbers, self.given.spread_s)
+        await self._start_gateways(self.config.numbers, self.config.spread_s)
         gc.collect()
         gc.freeze()
         gc.set_threshold(*self.limits.gc_thresholds)  # as the program does
 
-    async def _start(self, numbers: list[int], spread_s: float) -> None:
+    async def _start_gateways(self, numbers: list[int], spread_s: float) -> None:
         for number in numbers:
             gateway = HollowGateway(self.common, number)
             gateway.start()
             self.gateways[number] = gateway
             await asyncio.sleep(spread_s / len(numbers))
 
-    async def _kill(self, numbers: list[int]) -> list[int]:
+    async def _kill_gateways(self, numbers: list[int]) -> list[int]:
         gone = [gateway for number in numbers if (gateway := self.gateways.pop(number, None)) is not None]
         await asyncio.gather(*(gateway.kill() for gateway in gone))
         return [gateway.number for gateway in gone]
@@ -101,54 +101,54 @@
 
     async def revive(self, fields: Mapping[str, Any]) -> list[int]:
         """Gateways from nothing, under their old addresses."""
-        wanted = [n for n in fields["numbers"] if n in self.given.numbers and n not in self.gateways]
-        await self._start(wanted, 0.0)
+        wanted = [n for n in fields["numbers"] if n in self.config.numbers and n not in self.gateways]
+        await self._start_gateways(wanted, 0.0)
         return wanted
 
     async def kill(self, fields: Mapping[str, Any]) -> list[int]:
-        return await self._kill(fields["numbers"])
+        return await self._kill_gateways(fields["numbers"])
 
     async def restart(self, fields: Mapping[str, Any]) -> str:
         """One by its slot, within `wait_s`: how it ended."""
         number = int(fields["number"])
         if not await self.gateways[number].restart_by_slot(float(fields["wait_s"])):
             return "no slot"
-        await asyncio.sleep(LEAVE_S)
-        await self._kill([number])
-        await self._start([number], 0.0)
+        await asyncio.sleep(LEAVE_DELAY_S)
+        await self._kill_gateways([number])
+        await self._start_gateways([number], 0.0)
         return "done"
 
-    def cut(self, fields: Mapping[str, Any]) -> None:
+    def set_blocked_peers(self, fields: Mapping[str, Any]) -> None:
         """Between `numbers` and `others` nothing passes from now on; `others` empty: all does."""
         for number in fields["numbers"]:
             if number in self.gateways:
-                self.gateways[number].peers.cut = frozenset(fields["others"])
+                self.gateways[number].peers.blocked_peers = frozenset(fields["others"])
 
-    def watch(self, fields: Mapping[str, Any]) -> None:
+    def watch_members(self, fields: Mapping[str, Any]) -> None:
         """Tell when a gateway takes all of `numbers` for gone."""
         for gateway in self.gateways.values():
-            gateway.part.watched = frozenset(fields["numbers"])
+            gateway.fleet_service.watched_members = frozenset(fields["numbers"])
 
-    def engines_down(self, fields: Mapping[str, Any]) -> None:
+    def set_unreachable_engines(self, fields: Mapping[str, Any]) -> None:
         for gateway in self.gateways.values():
-            gateway.engines.down = frozenset(fields["engines"])
+            gateway.engines.unreachable = frozenset(fields["engines"])
 
-    def events(self, _: Mapping[str, Any]) -> list[Event]:
+    def take_events(self, _: Mapping[str, Any]) -> list[GatewayEvent]:
         """What happened since the last call."""
-        happened, self.happened = self.happened, []
+        happened, self.pending_events = self.pending_events, []
         return happened
 
-    def digests(self, _: Mapping[str, Any]) -> list[tuple[int, int, int]]:
-        return [gateway.digest() for gateway in self.gateways.values()]
+    def list_digests(self, _: Mapping[str, Any]) -> list[tuple[int, int, int]]:
+        return [gateway.list_digest() for gateway in self.gateways.values()]
 
-    def kept(self, _: Mapping[str, Any]) -> dict[int, list[str]]:
-        return {gateway.number: gateway.kept() for gateway in self.gateways.values()}
+    def routable_engines(self, _: Mapping[str, Any]) -> dict[int, list[str]]:
+        return {gateway.number: gateway.routable_engines() for gateway in self.gateways.values()}
 
-    def tell(self, _: Mapping[str, Any]) -> dict[str, Any]:
+    def status(self, _: Mapping[str, Any]) -> dict[str, Any]:
         """Counts since the start; stalls since the last call."""
         with open("/proc/self/statm", encoding="ascii") as file:
             rss = int(file.read().split()[1]) * resource.getpagesize()
-        longest_s, stalls = self.stalls.take()
+        longest_s, stalls = self.stalls.take_stalls()
         return {
             "at_us": monotonic_us(),
             "cpu_s": time.process_time(),
@@ -156,8 +156,8 @@
             "descriptors": len(os.listdir("/proc/self/fd")),
             "longest_stall_s": longest_s,
             "stalls": stalls,
-            "read_ns": self.meter.spent["read"],
-            "gateways": [gateway.tell() for gateway in self.gateways.values()],
+            "read_ns": self.meter.spent_ns["read"],
+            "gateways": [gateway.status() for gateway in self.gateways.values()],
         }
 
     def handlers(self) -> dict[str, Handler]:
@@ -178,8 +178,8 @@
 
 async def start(config: dict[str, Any]) -> tuple[Any, Mapping[str, Handler]]:
     """`HostGiven`; answers once all gateways of it run."""
-    host = Host(msgspec.convert(config, HostGiven))
-    await host.begin()
+    host = Host(msgspec.convert(config, HostConfig))
+    await host.start_all()
     return {"gateways": len(host.gateways)}, host.handlers()
 
 
--- a/whintrail/scale/inputs.py
+++ b/whintrail/scale/inputs.py
@@ -32,7 +32,7 @@
     reason: str
 
 
-def _given(name: str, unit: str, value: float, reason: str) -> Input:
+def _from_operators(name: str, unit: str, value: float, reason: str) -> Input:
     return Input(name, unit, value, "operators", reason)
 
 
@@ -40,40 +40,42 @@
     return Input(name, unit, value, "assumed", reason)
 
 
-def _own(name: str, unit: str, value: float, reason: str) -> Input:
+def _from_program(name: str, unit: str, value: float, reason: str) -> Input:
     return Input(name, unit, value, "program", reason)
 
 
-SOCKETS, MEMORY_MB = 1024, 192  # the most that the platform gives a gateway
-LIMITS = Limits.read({"limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB}, "settings": {}})
-FLEET, VERSIONS, MEMBERSHIP, COUNCIL = (
+MAX_SOCKETS, MAX_MEMORY_MB = 1024, 192  # the most that the platform gives a gateway
+GATEWAY_LIMITS = Limits.read({"limits": {"sockets": MAX_SOCKETS, "memory_mb": MAX_MEMORY_MB}, "settings": {}})
+FLEET_SETTINGS, VERSION_TIMING, MEMBERSHIP_TIMING, CONSENSUS_TIMING = (
     Fleet(name="x", council=(0,)),
     VersionTiming(),
     MembershipTiming(),
     ConsensusTiming(),
 )
 
-ALL = (
-    _given("gateways", "count", 4000, "the size that is coming"),
-    _given("engines", "count", 15_000, "the same; they say databases"),
-    _given("gateways_today", "count", 200, "where the way begins"),
-    _given("engines_today", "count", 80, "where the way begins"),
-    _given("client_connections", "count", 8_200_000, "over all gateways"),
-    _given("statements_per_s", "1/s", 5_800_000, "over all gateways"),
-    _given("primary_changes_a_day", "1/day", 26, "each over within primary_change_s"),
-    _given("primary_change_s", "s", 5, "the same"),
-    _given("regions", "count", 9, "with zones zones between them"),
-    _given("zones", "count", 19, "a zone is a nineteenth of everything"),
-    _given("changes_a_day", "1/day", 64_000, "of configuration; each in force everywhere within in_force_s"),
-    _given("in_force_s", "s", 3, "the same"),
-    _given("control_cpu", "share", 0.014, "of a core, for all of a gateway's control"),
-    _given("control_memory_mb", "MB", 64, "for all of a gateway's control"),
-    _given("control_bytes_per_s", "bytes/s", 4096, "4 KB/s, taken as in and out together"),
-    _given("control_machines", "count", 26, "set aside for control"),
-    _given("failures_a_day", "1/day", 21, "machines, on an ordinary day"),
-    _given("restarts_a_day", "1/day", 1800, "machines restarted or replaced"),
-    _given("rack", "count", 40, "machines that go at once with a rack or a switch"),
-    _given("cut_s", "s", 3600, "for so long regions lose each other"),
+ALL_INPUTS = (
+    _from_operators("gateways", "count", 4000, "the size that is coming"),
+    _from_operators("engines", "count", 15_000, "the same; they say databases"),
+    _from_operators("gateways_today", "count", 200, "where the way begins"),
+    _from_operators("engines_today", "count", 80, "where the way begins"),
+    _from_operators("client_connections", "count", 8_200_000, "over all gateways"),
+    _from_operators("statements_per_s", "1/s", 5_800_000, "over all gateways"),
+    _from_operators("primary_changes_a_day", "1/day", 26, "each over within primary_change_s"),
+    _from_operators("primary_change_s", "s", 5, "the same"),
+    _from_operators("regions", "count", 9, "with zones zones between them"),
+    _from_operators("zones", "count", 19, "a zone is a nineteenth of everything"),
+    _from_operators(
+        "changes_a_day", "1/day", 64_000, "of configuration; each in force everywhere within in_force_s"
+    ),
+    _from_operators("in_force_s", "s", 3, "the same"),
+    _from_operators("control_cpu", "share", 0.014, "of a core, for all of a gateway's control"),
+    _from_operators("control_memory_mb", "MB", 64, "for all of a gateway's control"),
+    _from_operators("control_bytes_per_s", "bytes/s", 4096, "4 KB/s, taken as in and out together"),
+    _from_operators("control_machines", "count", 26, "set aside for control"),
+    _from_operators("failures_a_day", "1/day", 21, "machines, on an ordinary day"),
+    _from_operators("restarts_a_day", "1/day", 1800, "machines restarted or replaced"),
+    _from_operators("rack", "count", 40, "machines that go at once with a rack or a switch"),
+    _from_operators("cut_s", "s", 3600, "for so long regions lose each other"),
     _assumed("peak_over_mean", "ratio", 2.0, "busiest hour over the day's mean; the operators gave means"),
     _assumed("burst", "ratio", 10.0, "changes of configuration over their mean, by the letter"),
     _assumed("burst_s", "s", 600, "how long a burst lasts: a deployment of ten minutes"),
@@ -95,90 +97,106 @@
     ),
     _assumed("out_zone_share", "share", 0.1, "the same in a zone"),
     _assumed("restart_s", "s", 30, "from the end of a process to its successor's start"),
-    _own("proven_s", "s", FLEET.proven_s, "a new process has to have served so long"),
-    _own(
-        "check_s", "s", VERSIONS.check_timeout_us / 1e6, "for all to say whether they can act on a proposal"
+    _from_program("proven_s", "s", FLEET_SETTINGS.proven_s, "a new process has to have served so long"),
+    _from_program(
+        "check_s",
+        "s",
+        VERSION_TIMING.check_timeout_us / 1e6,
+        "for all to say whether they can act on a proposal",
     ),
-    _own(
+    _from_program(
         "change_round_trips",
         "count",
         8,
         "docs/versions.md, its steps in turn: asked of the leader 0.5; proposed, entered, settled: decided 1 "
         "and told 0.5 each; the body fetched 1; verdict, and acting on the merge, said 0.5 each; a lease 1",
     ),
-    _own(
+    _from_program(
         "refresh_per_s",
         "1/s",
         1e6 / routing.WEIGHT_REFRESH_INTERVAL_US,
         "brain.REFRESH_US: while work is out",
     ),
-    _own("sweep_per_s", "1/s", 1e6 / routing.SWEEP_INTERVAL_US, "brain.SWEEP_US"),
-    _own("turns_per_s", "1/s", 1 / TICK_INTERVAL_S, "gateway/fleet.TURN_S"),
-    _own(
+    _from_program("sweep_per_s", "1/s", 1e6 / routing.SWEEP_INTERVAL_US, "brain.SWEEP_US"),
+    _from_program("turns_per_s", "1/s", 1 / TICK_INTERVAL_S, "gateway/fleet.TURN_S"),
+    _from_program(
         "probe_shared_s",
         "s",
         routing.SHARED_PROBE_INTERVAL_US / 1e6,
         "an engine is asked so often by the whole fleet",
     ),
-    _own(
+    _from_program(
         "silent_s", "s", routing.MIN_SILENCE_US / 1e6, "silence of an engine before it is given up, at least"
     ),
-    _own("lease_s", "s", VERSIONS.lease_us / 1e6, "VersionPace: a rule holds so long from the asking"),
-    _own(
+    _from_program(
+        "lease_s", "s", VERSION_TIMING.lease_us / 1e6, "VersionPace: a rule holds so long from the asking"
+    ),
+    _from_program(
         "lease_asks_per_s",
         "1/s",
-        1e6 / VERSIONS.renew_interval_us,
+        1e6 / VERSION_TIMING.renew_interval_us,
         "VersionPace, a gateway; what is new is asked at once",
     ),
-    _own("stated_s", "s", VERSIONS.max_divergence_us / 1e6, "T of docs/versions.md"),
-    _own(
+    _from_program("stated_s", "s", VERSION_TIMING.max_divergence_us / 1e6, "T of docs/versions.md"),
+    _from_program(
         "election_s",
         "s",
-        (COUNCIL.election_timeout_us + COUNCIL.election_jitter_us) / 1e6,
+        (CONSENSUS_TIMING.election_timeout_us + CONSENSUS_TIMING.election_jitter_us) / 1e6,
         "without a leader, at most",
     ),
-    _own("beats_per_s", "1/s", 1e6 / COUNCIL.heartbeat_us, "of the leader to each of the council"),
-    _own("retells", "count", REBROADCASTS, "what is decided is told to all so often"),
-    _own(
+    _from_program(
+        "beats_per_s", "1/s", 1e6 / CONSENSUS_TIMING.heartbeat_us, "of the leader to each of the council"
+    ),
+    _from_program("retells", "count", REBROADCASTS, "what is decided is told to all so often"),
+    _from_program(
         "reports_per_s",
         "1/s",
         1e6 / REPORT_INTERVAL_US,
         "a gateway's to the leader, while it has something to decide",
     ),
-    _own(
+    _from_program(
         "entries_kept",
         "count",
         RETAINED_ENTRIES,
         "a replica can tell these again; past them the whole state goes",
     ),
-    _own(
+    _from_program(
         "state_most_bytes", "bytes", MAX_CHUNKS * CHUNK_BYTES, "the longest state that a newcomer can be told"
     ),
-    _own("slots_most", "count", MAX_SLOTS, "that the agreed state holds"),
-    _own(
+    _from_program("slots_most", "count", MAX_SLOTS, "that the agreed state holds"),
+    _from_program(
         "answer_slack_ms",
         "ms",
-        LIMITS.answer_slack_us / 1e3,
+        GATEWAY_LIMITS.answer_slack_us / 1e3,
         "a longer stand of the loop makes final answers late",
     ),
-    _own("bulletin_line_bytes", "bytes", LIMITS.bulletin_line_bytes, "a longer line is refused"),
-    _own(
+    _from_program(
+        "bulletin_line_bytes", "bytes", GATEWAY_LIMITS.bulletin_line_bytes, "a longer line is refused"
+    ),
+    _from_program(
         "client_limit",
         "count",
-        LIMITS.client_connections,
-        f"45% of {SOCKETS} descriptors, the platform's most",
+        GATEWAY_LIMITS.client_connections,
+        f"45% of {MAX_SOCKETS} descriptors, the platform's most",
     ),
-    _own("link_limit", "count", LIMITS.engine_connections, f"35% of {SOCKETS} descriptors"),
-    _own("keepalive_s", "s", LIMITS.link_idle_timeout_s, "an idle link to an engine stays so long"),
-    _own("memory_mb", "MB", MEMORY_MB, "of a gateway in all: the platform's most"),
-    _own(
-        "messages_per_s", "1/s", FLEET.messages_per_s, "a gateway's fleet datagrams out, as the setting comes"
+    _from_program(
+        "link_limit", "count", GATEWAY_LIMITS.engine_connections, f"35% of {MAX_SOCKETS} descriptors"
+    ),
+    _from_program(
+        "keepalive_s", "s", GATEWAY_LIMITS.link_idle_timeout_s, "an idle link to an engine stays so long"
+    ),
+    _from_program("memory_mb", "MB", MAX_MEMORY_MB, "of a gateway in all: the platform's most"),
+    _from_program(
+        "messages_per_s",
+        "1/s",
+        FLEET_SETTINGS.messages_per_s,
+        "a gateway's fleet datagrams out, as the setting comes",
     ),
 )
 
-BY_NAME: Mapping[str, Input] = {given.name: given for given in ALL}
+INPUT_BY_NAME: Mapping[str, Input] = {given.name: given for given in ALL_INPUTS}
 
 
-def value(name: str) -> float:
+def input_value(name: str) -> float:
     """Errors: KeyError where there is no such input."""
-    return BY_NAME[name].value
+    return INPUT_BY_NAME[name].value
--- a/whintrail/scale/load.py
+++ b/whintrail/scale/load.py
@@ -14,10 +14,10 @@
 
 from whintrail.scale.control import Handler, serve
 from whintrail.scale.measure import Delays
-from whintrail.standins.load import Load, LoadClient, until_serves
+from whintrail.standins.load_generator import LoadClient, LoadGenerator, wait_until_serving
 from whintrail.standins.scripted import settings
 
-MIX = [["lookup", 5.0, 1.0]]  # class, milliseconds on one core, weight
+DEFAULT_MIX = [["lookup", 5.0, 1.0]]  # class, milliseconds on one core, weight
 
 
 def gateway_config(
@@ -49,40 +49,43 @@
     }
 
 
-def connections_to(pid: int, ports: set[int]) -> int:
+def count_connections(pid: int, ports: set[int]) -> int:
     """Open TCP connections of a process to these ports, its engines'."""
     found = psutil.Process(pid).net_connections("tcp4")
     return sum(bool(c.raddr) and c.raddr.port in ports and c.status == "ESTABLISHED" for c in found)
 
 
-class Clients:
+class LoadClients:
     def __init__(self, config: Mapping[str, Any]) -> None:
         self.random = Random(int(config.get("seed", 1)))
-        self.idle: list[LoadClient] = []
-        self.pingers: list[asyncio.Task[None]] = []
-        self.pings, self.longest_s, self.lost = Delays(), 0.0, 0
-        self.waits: dict[int, float] = {}  # by port, since when an answer is awaited
+        self.idle_sessions: list[LoadClient] = []
+        self.ping_tasks: list[asyncio.Task[None]] = []
+        self.ping_delays, self.longest_delay_s, self.lost_count = Delays(), 0.0, 0
+        self.waiting_since: dict[int, float] = {}  # by port, since when an answer is awaited
 
-    async def load(self, fields: Mapping[str, Any]) -> dict[str, Any]:
+    async def run_load(self, fields: Mapping[str, Any]) -> dict[str, Any]:
         """`rate` queries a second (Poisson) to each of `ports` for `seconds`; counts of ends (`served`, an
         SQLSTATE, `lost`) and the histogram of those served."""
-        mix = [(str(name), float(cost), float(weight)) for name, cost, weight in fields.get("mix", MIX)]
+        mix = [
+            (str(name), float(cost), float(weight)) for name, cost, weight in fields.get("mix", DEFAULT_MIX)
+        ]
         loads = [
-            Load(port, float(fields["rate"]), mix, self.random.getrandbits(32)) for port in fields["ports"]
+            LoadGenerator(port, float(fields["rate"]), mix, self.random.getrandbits(32))
+            for port in fields["ports"]
         ]
         began = time.monotonic()
         await asyncio.gather(*(load.run(float(fields["seconds"])) for load in loads))
         ends: Counter[str] = Counter()
         delays = Delays()
         for load in loads:
-            ends += load.ends
-            for delay in load.latencies:
+            ends += load.outcomes
+            for delay in load.latencies_s:
                 delays.add(delay)
             load.close()
-        asked, took_s = sum(load.asked for load in loads), time.monotonic() - began
+        asked, took_s = sum(load.queries_sent for load in loads), time.monotonic() - began
         return {"ends": dict(ends), "asked": asked, "took_s": took_s, "delays": delays.encode()}
 
-    async def most(self, fields: Mapping[str, Any]) -> dict[str, Any]:
+    async def run_closed_loop(self, fields: Mapping[str, Any]) -> dict[str, Any]:
         """As many as one gateway at `port` does: `sessions` that ask again as soon as they are answered, for
         `seconds`; queries of `cost_ms`."""
         ends: Counter[str] = Counter()
@@ -92,7 +95,7 @@
             client = LoadClient(int(fields["port"]))
             try:
                 while (now := time.monotonic()) < until:
-                    end = await client.ask(self._query(float(fields.get("cost_ms", 1.0))))
+                    end = await client.run_query(self._build_query(float(fields.get("cost_ms", 1.0))))
                     ends[end] += 1
                     if end == "served":
                         delays.add(time.monotonic() - now)
@@ -105,68 +108,76 @@
         await asyncio.gather(*(one() for _ in range(int(fields["sessions"]))))
         return {"ends": dict(ends), "took_s": time.monotonic() - began, "delays": delays.encode()}
 
-    def _query(self, cost_ms: float) -> str:
+    def _build_query(self, cost_ms: float) -> str:
         call, group = f"{self.random.getrandbits(64):016x}", self.random.randrange(50)
         fields = f"op=lookup,call={call},ttl=6000,work={cost_ms:.1f},memory=8"
         return f"/* {fields} */ SELECT 1 FROM sales_{group}.t -- cost={cost_ms}"
 
-    async def hold(self, fields: Mapping[str, Any]) -> int:
+    async def hold_sessions(self, fields: Mapping[str, Any]) -> int:
         """Open `sessions` more at `port`, and leave them idle; how many are held in all."""
         for _ in range(int(fields["sessions"])):
             client = LoadClient(int(fields["port"]))
             client.chunk = bytearray(512)
             await client.open()
-            self.idle.append(client)
-        return len(self.idle)
+            self.idle_sessions.append(client)
+        return len(self.idle_sessions)
 
-    def release(self, _: Mapping[str, Any]) -> None:
-        while self.idle:
-            self.idle.pop().close()
+    def release_sessions(self, _: Mapping[str, Any]) -> None:
+        while self.idle_sessions:
+            self.idle_sessions.pop().close()
 
-    def ping(self, fields: Mapping[str, Any]) -> None:
+    def start_pings(self, fields: Mapping[str, Any]) -> None:
         """From now on an empty query each `every_s` at each of `ports`, on a session of its own: how long the
         gateway's loop stands at most. An answer that is late holds up the next, and is counted once."""
-        for task in self.pingers:
+        for task in self.ping_tasks:
             task.cancel()
         every_s = float(fields.get("every_s", 0.01))
         loop = asyncio.get_running_loop()
-        self.pingers = [loop.create_task(self._pinging(port, every_s)) for port in fields["ports"]]
-        self.stalls({})
+        self.ping_tasks = [loop.create_task(self._run_pings(port, every_s)) for port in fields["ports"]]
+        self.take_stalls({})
 
-    async def _pinging(self, port: int, every_s: float) -> None:
+    async def _run_pings(self, port: int, interval_s: float) -> None:
         client = LoadClient(port)
         try:
             while True:
-                began = self.waits[port] = time.monotonic()
+                began = self.waiting_since[port] = time.monotonic()
                 try:
-                    await client.ask("")
+                    await client.run_query("")
                 except OSError:  # the gateway is down, or made room for another session
-                    self.lost += 1
+                    self.lost_count += 1
                     client.close()
                     await asyncio.sleep(0.05)
                     continue
                 passed = time.monotonic() - began
-                self.pings.add(passed)
-                self.longest_s = max(self.longest_s, passed)
-                del self.waits[port]
-                await asyncio.sleep(max(0.0, every_s - passed))
+                self.ping_delays.add(passed)
+                self.longest_delay_s = max(self.longest_delay_s, passed)
+                del self.waiting_since[port]
+                await asyncio.sleep(max(0.0, interval_s - passed))
         finally:
-            self.waits.pop(port, None)
+            self.waiting_since.pop(port, None)
             client.close()
 
-    def stalls(self, _: Mapping[str, Any]) -> dict[str, Any]:
+    def take_stalls(self, _: Mapping[str, Any]) -> dict[str, Any]:
         """Since the last call: the longest wait for an empty query's answer in seconds, one that still goes
         on too, all answers, and how many were lost."""
         now = time.monotonic()
-        self.longest_s = max([self.longest_s, *(now - since for since in self.waits.values())])
-        told = {"longest_s": self.longest_s, "delays": self.pings.encode(), "lost": self.lost}
-        self.pings, self.longest_s, self.lost = Delays(), 0.0, 0
+        self.longest_delay_s = max(
+            [self.longest_delay_s, *(now - since for since in self.waiting_since.values())]
+        )
+        told = {
+            "longest_s": self.longest_delay_s,
+            "delays": self.ping_delays.encode(),
+            "lost": self.lost_count,
+        }
+        self.ping_delays, self.longest_delay_s, self.lost_count = Delays(), 0.0, 0
         return told
 
-    async def serves(self, fields: Mapping[str, Any]) -> list[bool]:
+    async def wait_until_serving(self, fields: Mapping[str, Any]) -> list[bool]:
         """Whether each of `ports` answers a start-up within `tries` tries, 50 ms apart."""
         ports: Sequence[int] = fields["ports"]
-        return await asyncio.gather(*(until_serves(port, int(fields.get("tries", 200))) for port in ports))
+        return await asyncio.gather(
+            *(wait_until_serving(port, int(fields.get("tries", 200))) for port in ports)
+        )
 
     def handlers(self) -> dict[str, Handler]:
         names = ("load", "most", "hold", "release", "ping", "stalls", "serves")
@@ -175,7 +186,7 @@
 
 async def start(config: dict[str, Any]) -> tuple[Any, Mapping[str, Handler]]:
     """`seed`; answers nothing."""
-    return None, Clients(config).handlers()
+    return None, LoadClients(config).handlers()
 
 
 if __name__ == "__main__":
--- a/whintrail/scale/measure.py
+++ b/whintrail/scale/measure.py
@@ -15,8 +15,8 @@
 
 from whintrail.scale.results import Kind, Sample, sample
 
-HEADERS_BYTES = 28  # of IPv4 and UDP, with each datagram
-LONGEST_US = 600_000_000
+DATAGRAM_HEADER_BYTES = 28  # of IPv4 and UDP, with each datagram
+MAX_DELAY_US = 600_000_000
 
 
 class Reading(Struct, frozen=True):
@@ -46,19 +46,19 @@
     def __init__(self) -> None:
         self.datagrams_in = self.datagrams_out = self.bytes_in = self.bytes_out = 0
 
-    def took(self, payload: int) -> None:
+    def record_received(self, payload_bytes: int) -> None:
         self.datagrams_in += 1
-        self.bytes_in += payload + HEADERS_BYTES
+        self.bytes_in += payload_bytes + DATAGRAM_HEADER_BYTES
 
-    def sent(self, payload: int) -> None:
+    def record_sent(self, payload_bytes: int) -> None:
         self.datagrams_out += 1
-        self.bytes_out += payload + HEADERS_BYTES
+        self.bytes_out += payload_bytes + DATAGRAM_HEADER_BYTES
 
     def counts(self) -> dict[str, int]:
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-def used(before: Reading, after: Reading) -> dict[str, float]:
+def usage_between(before: Reading, after: Reading) -> dict[str, float]:
     """Between two readings of a process: cpu_share of one core, and each counter a second; memory and
     descriptors as of the second."""
     passed = max(after.at_s - before.at_s, 1e-9)
@@ -78,16 +78,16 @@
     """A histogram of delays in seconds; None is kept of the single ones."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, LONGEST_US, 3)
+        self.histogram = HdrHistogram(1, MAX_DELAY_US, 3)
 
     def add(self, seconds: float, count: int = 1) -> None:
         """Delays under 1 us count as 1 us, over 10 min as 10 min."""
-        self.histogram.record_value(min(LONGEST_US, max(1, round(seconds * 1e6))), count)
+        self.histogram.record_value(min(MAX_DELAY_US, max(1, round(seconds * 1e6))), count)
 
     def __len__(self) -> int:
         return int(self.histogram.get_total_count())
 
-    def at(self, share: float) -> float:
+    def quantile(self, share: float) -> float:
         """Seconds that this share of the delays don't exceed; 0 where there are none."""
         return float(self.histogram.get_value_at_percentile(share * 100)) / 1e6 if len(self) else 0.0
 
@@ -104,12 +104,12 @@
         return whole
 
     def sample(
-        self, quantity: str, unit: str, sizes: tuple[int, int], kind: Kind, at: float = 0.5, **more: Any
+        self, quantity: str, unit: str, sizes: tuple[int, int], kind: Kind, share: float = 0.5, **more: Any
     ) -> Sample:
         """The delay at a share (0.5: the median; 0.99 for a p99), low at 5 and high at 99 hundredths; `unit`
         is us, ms or s."""
         times = {"us": 1e6, "ms": 1e3, "s": 1.0}[unit]
-        low, value, high = (self.at(share) * times for share in (0.05, at, 0.99))
+        low, value, high = (self.quantile(share) * times for share in (0.05, share, 0.99))
         return Sample(
             quantity=quantity,
             unit=unit,
@@ -124,7 +124,7 @@
         )
 
 
-UNITS = {
+QUANTITY_UNITS = {
     "cpu_share": "share",
     "rss_bytes": "bytes",
     "descriptors": "count",
@@ -135,46 +135,46 @@
 }
 
 
-def samples_of(
+def usage_samples(
     before: Mapping[str, Reading],
     after: Mapping[str, Reading],
     sizes: tuple[int, int],
     kind: Kind,
-    parts: int = 1,
+    gateways_per_process: int = 1,
     **more: Any,
 ) -> list[Sample]:
     """One sample a quantity over processes of one role, by name. Where a process plays `parts` gateways, all
     figures are by gateway. Processes that are not in both are left out."""
     values: dict[str, list[float]] = {}
     for name in before.keys() & after.keys():
-        for quantity, value in used(before[name], after[name]).items():
-            values.setdefault(quantity, []).append(value / parts)
+        for quantity, value in usage_between(before[name], after[name]).items():
+            values.setdefault(quantity, []).append(value / gateways_per_process)
     taken = []
     for quantity, figures in values.items():
-        if quantity in UNITS:
-            one = sample(quantity, UNITS[quantity], sizes, figures, kind)
+        if quantity in QUANTITY_UNITS:
+            one = sample(quantity, QUANTITY_UNITS[quantity], sizes, figures, kind)
             taken.append(structs.replace(one, **more))
     return taken
 
 
-class StallWatch:
+class LoopStallMonitor:
     """How long this process's loop stood at a time: a timer each 5 ms, and what it came too late by.
 
     The machine's own waits are in it, too: hold it against `at(0.5)` of a quiet process."""
 
-    def __init__(self, every_s: float = 0.005) -> None:
-        self.every_s, self.delays, self.longest_s = every_s, Delays(), 0.0
+    def __init__(self, interval_s: float = 0.005) -> None:
+        self.interval_s, self.delays, self.longest_s = interval_s, Delays(), 0.0
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
         while True:
-            due = time.monotonic() + self.every_s
-            await asyncio.sleep(self.every_s)
+            due = time.monotonic() + self.interval_s
+            await asyncio.sleep(self.interval_s)
             late = time.monotonic() - due
             self.delays.add(max(0.0, late))
             self.longest_s = max(self.longest_s, late)
 
-    def take(self) -> tuple[float, str]:
+    def take_stalls(self) -> tuple[float, str]:
         """The longest standstill in seconds and the histogram since the last call; begins anew."""
         taken = self.longest_s, self.delays.encode()
         self.delays, self.longest_s = Delays(), 0.0
--- a/whintrail/scale/plan.py
+++ b/whintrail/scale/plan.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 Seconds = Annotated[float, Meta(ge=0.5, le=3600.0)]
-Word = Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
+SizeName = Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
 Act = Literal["steady", "changes", "restarts", "machines", "zone", "regions", "control"]
 
 
@@ -31,7 +31,7 @@
 class Size(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """What is played; docs/CAPACITY.md says what hollow leaves out."""
 
-    name: Word
+    name: SizeName
     gateways: Annotated[int, Meta(ge=3, le=4000)]  # in all; the first are the council, the last are real
     engines: Annotated[int, Meta(ge=1, le=15_000)]
     real: Annotated[int, Meta(ge=0, le=20)] = 0
@@ -54,7 +54,7 @@
         return f"z{number * self.zones // self.gateways + 1}"
 
     @property
-    def hollow(self) -> range:
+    def hollow_gateways(self) -> range:
         """Those that are not of the council, nor real."""
         return range(self.council, self.gateways - self.real)
 
--- a/whintrail/scale/rates.py
+++ b/whintrail/scale/rates.py
@@ -7,20 +7,28 @@
 
 from whintrail.scale.capacity import (
     Estimate,
-    Figures,
+    EvaluationPoint,
+    FitCache,
+    MeasurementKey,
     NotMeasured,
-    Size,
-    Use,
-    at_taken,
-    coming,
-    exactly,
-    is_beyond,
-    per_s,
+    daily_rate_per_s,
+    evaluate_at_largest_measured,
+    exact,
+    is_extrapolated,
+    target_size,
+)
+from whintrail.scale.inputs import input_value as given
+from whintrail.scale.rows import (
+    CHANGE_BROADCAST_BYTES,
+    CHANGES_PER_S,
+    CLIENTS_PER_GATEWAY,
+    ENTRIES_PER_CHANGE,
+    IN_FORCE_BUDGET_S,
+    PRIMARY_CHANGE_BUDGET_S,
+    REBROADCASTS_PER_ENTRY,
 )
-from whintrail.scale.inputs import value as given
-from whintrail.scale.rows import CHANGES, CLIENTS, ENTRIES, IN_FORCE, PRIMARY, RETELLS, TOLD_CHANGE
 
-DUE = 1 / CHANGES  # seconds from one change to the next, in the mean
+DUE = 1 / CHANGES_PER_S  # seconds from one change to the next, in the mean
 DAY = 86_400.0
 
 
@@ -30,7 +38,7 @@
     event: str
     what: str
     unit: str
-    value: Callable[[Size], Estimate]
+    value: Callable[[EvaluationPoint], Estimate]
     budget: float | None = None
     budget_name: str = ""
 
@@ -40,14 +48,14 @@
     fact: Fact
     value: Estimate | None
     missing: str
-    used: tuple[Use, ...] = ()
+    used: tuple[MeasurementKey, ...] = ()
     taken: tuple[Estimate, tuple[float, float]] | None = None  # at the greatest size of what it rests on
     beyond: bool = False  # the sizes at which what it rests on was taken
 
     @property
     def untold(self) -> bool:
         """Beyond the sizes taken, and its range tells nothing."""
-        return self.value is not None and self.beyond and self.value.wide
+        return self.value is not None and self.beyond and self.value.is_wide
 
     @property
     def passed(self) -> bool:
@@ -59,68 +67,73 @@
         return self.value.value > budget
 
 
-def reckon(fact: Fact, figures: Figures, size: tuple[float, float] | None = None) -> Reckoned:
-    at = Size(*(size or coming()), figures)
+def reckon(fact: Fact, figures: FitCache, size: tuple[float, float] | None = None) -> Reckoned:
+    at = EvaluationPoint(*(size or target_size()), figures)
     try:
         value = fact.value(at)
         return Reckoned(
-            fact, value, "", tuple(at.used), at_taken(fact.value, at.used, figures), is_beyond(at)
+            fact,
+            value,
+            "",
+            tuple(at.used_keys),
+            evaluate_at_largest_measured(fact.value, at.used_keys, figures),
+            is_extrapolated(at),
         )
     except NotMeasured as error:
-        return Reckoned(fact, None, str(error), tuple(at.used))
+        return Reckoned(fact, None, str(error), tuple(at.used_keys))
 
 
-def _one(s: Size) -> Estimate:
-    return s.measured("version_in_force_s", "gateways", kind="simulated", note="one after another")
+def _one(s: EvaluationPoint) -> Estimate:
+    return s.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another")
 
 
-def _one_p99(s: Size) -> Estimate:
-    return s.measured(
+def _one_p99(s: EvaluationPoint) -> Estimate:
+    return s.estimate(
         "version_in_force_s", "gateways", kind="simulated", note="one after another", stat="high"
     )
 
 
-def _left_at_night(s: Size) -> Estimate:
+def _left_at_night(s: EvaluationPoint) -> Estimate:
     """Changes of a day that are not made by its end; of a longer time, more."""
     one = _one(s)
     made = [min(given("changes_a_day"), DAY / max(1e-9, t)) for t in (one.value, one.high, one.low)]
     left = [given("changes_a_day") - m for m in made]
-    return Estimate(left[0], min(left), math.inf if one.wide else max(left))
+    return Estimate(left[0], min(left), math.inf if one.is_wide else max(left))
 
 
-def _burst_last(s: Size) -> Estimate:
+def _burst_last(s: EvaluationPoint) -> Estimate:
     """How long the burst's last change waits and takes, where they go one after another."""
-    changes = given("burst") * CHANGES * given("burst_s")
+    changes = given("burst") * CHANGES_PER_S * given("burst_s")
     one = _one(s)
     wait = [max(t, changes * t - given("burst_s")) for t in (one.value, one.low, one.high)]
     return Estimate(*wait)
 
 
-def _newcomers(s: Size) -> Estimate:
-    return s.measured("state_newcomer_datagrams", "gateways", kind="simulated", day="losses") * (
+def _newcomers(s: EvaluationPoint) -> Estimate:
+    return s.estimate("state_newcomer_datagrams", "gateways", kind="simulated", day="losses") * (
         s.gateways / given("regions")
     )
 
 
-def _engine_shut(s: Size) -> Estimate:
-    heard = s.measured("list_apply_s", "gateways", kind="hollow", day="changes", stat="high")
-    return heard + exactly(given("silent_s"))
+def _engine_shut(s: EvaluationPoint) -> Estimate:
+    heard = s.estimate("list_apply_s", "gateways", kind="hollow", day="changes", stat="high")
+    return heard + exact(given("silent_s"))
 
 
-def _stand(events: Callable[[Size], float]) -> Callable[[Size], Estimate]:
-    return lambda s: s.measured("module_list_delta_us", "engines") * (events(s) / 1e6)
+def _stand(events: Callable[[EvaluationPoint], float]) -> Callable[[EvaluationPoint], Estimate]:
+    return lambda s: s.estimate("module_list_delta_us", "engines") * (events(s) / 1e6)
 
 
-def _known(s: Size) -> Estimate:
-    return s.measured("removal_known_s", "gateways", kind="simulated", day="losses")
+def _known(s: EvaluationPoint) -> Estimate:
+    return s.estimate("removal_known_s", "gateways", kind="simulated", day="losses")
 
 
-def _out_most(s: Size) -> float:
+def _out_most(s: EvaluationPoint) -> float:
     return given("out_share") * s.gateways
 
 
 REGION, ZONE = given("regions"), given("zones")
-MISSED = CHANGES * given("cut_s")
+MISSED = CHANGES_PER_S * given("cut_s")
 MEAN, BURST, BACK = "64,000 changes a day", "a burst of ten times the mean", "a region back after an hour"
 PRIMARIES, RESTARTS, RACK = (
     "26 changes of primary a day",
@@ -131,14 +144,14 @@
 
 FACTS: tuple[Fact, ...] = (
     Fact("mean_one", MEAN, "one change, until all act on it", "s", _one, DUE, "one is due each 1.35 s"),
-    Fact("mean_p99", MEAN, "the same, p99", "s", _one_p99, IN_FORCE, "3 s"),
+    Fact("mean_p99", MEAN, "the same, p99", "s", _one_p99, IN_FORCE_BUDGET_S, "3 s"),
     Fact(
         "mean_far",
         MEAN,
         "round trips of one change alone, the leader in the farthest region",
         "s",
-        lambda s: exactly(given("change_round_trips") * given("rtt_region_s")),
-        IN_FORCE,
+        lambda s: exact(given("change_round_trips") * given("rtt_region_s")),
+        IN_FORCE_BUDGET_S,
         "3 s",
     ),
     Fact(
@@ -146,8 +159,8 @@
         MEAN,
         "the same inside a region",
         "s",
-        lambda s: exactly(given("change_round_trips") * given("rtt_zone_s")),
-        IN_FORCE,
+        lambda s: exact(given("change_round_trips") * given("rtt_zone_s")),
+        IN_FORCE_BUDGET_S,
         "3 s",
     ),
     Fact("mean_left", MEAN, "changes not made by the day's end", "count", _left_at_night, 0.0, "none"),
@@ -156,51 +169,59 @@
         MEAN,
         "datagrams out of the leader for one",
         "count",
-        lambda s: exactly(ENTRIES * RETELLS * s.gateways),
+        lambda s: exact(ENTRIES_PER_CHANGE * REBROADCASTS_PER_ENTRY * s.gateways),
     ),
     Fact(
         "mean_bytes",
         MEAN,
         "bytes at a gateway for one, told three times",
         "bytes",
-        lambda s: exactly(TOLD_CHANGE * RETELLS),
+        lambda s: exact(CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY),
     ),
     Fact(
         "burst_changes",
         BURST,
         "changes in its ten minutes",
         "count",
-        lambda s: exactly(given("burst") * CHANGES * given("burst_s")),
+        lambda s: exact(given("burst") * CHANGES_PER_S * given("burst_s")),
+    ),
+    Fact(
+        "burst_last",
+        BURST,
+        "the last one in force, one after another",
+        "s",
+        _burst_last,
+        IN_FORCE_BUDGET_S,
+        "3 s",
     ),
-    Fact("burst_last", BURST, "the last one in force, one after another", "s", _burst_last, IN_FORCE, "3 s"),
     Fact(
         "burst_bytes",
         BURST,
         "bytes at a gateway, if the pace were held",
         "bytes/s",
-        lambda s: exactly(TOLD_CHANGE * RETELLS * CHANGES * given("burst")),
+        lambda s: exact(CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY * CHANGES_PER_S * given("burst")),
         given("control_bytes_per_s"),
         "4 KB/s",
     ),
-    Fact("back_missed", BACK, "changes that it missed", "count", lambda s: exactly(MISSED)),
+    Fact("back_missed", BACK, "changes that it missed", "count", lambda s: exact(MISSED)),
     Fact(
         "back_entries",
         BACK,
         "entries of the log that it missed",
         "count",
-        lambda s: exactly(MISSED * ENTRIES),
+        lambda s: exact(MISSED * ENTRIES_PER_CHANGE),
         given("entries_kept"),
         "the 128 that are kept; past them the whole state",
     ),
-    Fact("back_gateways", BACK, "gateways that need it", "count", lambda s: exactly(s.gateways / REGION)),
+    Fact("back_gateways", BACK, "gateways that need it", "count", lambda s: exact(s.gateways / REGION)),
     Fact("back_datagrams", BACK, "datagrams of the state to all of them", "count", _newcomers),
     Fact(
         "back_s",
         BACK,
         "until one holds the state",
         "s",
-        lambda s: s.measured("state_newcomer_s", "gateways", kind="simulated", day="losses"),
-        IN_FORCE,
+        lambda s: s.estimate("state_newcomer_s", "gateways", kind="simulated", day="losses"),
+        IN_FORCE_BUDGET_S,
         "3 s",
     ),
     Fact(
@@ -208,7 +229,7 @@
         PRIMARIES,
         "from one to the next, mean",
         "s",
-        lambda s: exactly(1 / per_s("primary_changes_a_day")),
+        lambda s: exact(1 / daily_rate_per_s("primary_changes_a_day")),
     ),
     Fact(
         "primary_shut",
@@ -216,7 +237,7 @@
         "an engine silent, then its list event held by all, p99",
         "s",
         _engine_shut,
-        PRIMARY,
+        PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
@@ -225,7 +246,7 @@
         "a home of loads moved: a change of settings, p99",
         "s",
         _one_p99,
-        PRIMARY,
+        PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
@@ -233,8 +254,8 @@
         PRIMARIES,
         "a council's leader: election and T, at most",
         "s",
-        lambda s: exactly(given("election_s") + given("stated_s")),
-        PRIMARY,
+        lambda s: exact(given("election_s") + given("stated_s")),
+        PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
@@ -242,22 +263,22 @@
         PRIMARIES,
         "list events told for one, to all: leaving, then ready",
         "count",
-        lambda s: exactly(2 * s.gateways),
+        lambda s: exact(2 * s.gateways),
     ),
     Fact(
         "restart_apart",
         RESTARTS,
         "from one restart to the next, mean",
         "s",
-        lambda s: exactly(1 / per_s("restarts_a_day")),
+        lambda s: exact(1 / daily_rate_per_s("restarts_a_day")),
     ),
     Fact(
         "restart_slot",
         RESTARTS,
         "a slot granted, one at a time",
         "s",
-        lambda s: s.measured("slot_s", "gateways", kind="simulated"),
-        1 / per_s("restarts_a_day"),
+        lambda s: s.estimate("slot_s", "gateways", kind="simulated"),
+        1 / daily_rate_per_s("restarts_a_day"),
         "one is due each 48 s",
     ),
     Fact(
@@ -265,7 +286,7 @@
         RESTARTS,
         "out by a slot at a time, mean",
         "count",
-        lambda s: exactly(per_s("restarts_a_day") * (given("restart_s") + given("proven_s"))),
+        lambda s: exact(daily_rate_per_s("restarts_a_day") * (given("restart_s") + given("proven_s"))),
         given("slots_most"),
         "128 slots",
     ),
@@ -274,14 +295,14 @@
         RESTARTS,
         "all gateways, one slot after another",
         "s",
-        lambda s: s.measured("slot_s", "gateways", kind="simulated") * s.gateways,
+        lambda s: s.estimate("slot_s", "gateways", kind="simulated") * s.gateways,
     ),
     Fact(
         "failure_days",
         RESTARTS,
         "days until failures that nobody gives up stop all restarts",
         "days",
-        lambda s: exactly(_out_most(s) / given("failures_a_day")),
+        lambda s: exact(_out_most(s) / given("failures_a_day")),
     ),
     Fact("rack_known", RACK, "gateways gone, known to nine in ten", "s", _known),
     Fact(
@@ -298,8 +319,8 @@
         RACK,
         "out in the rack's zone, a tenth of it allowed",
         "count",
-        lambda s: exactly(given("rack")),
-        given("out_zone_share") * coming()[0] / ZONE,
+        lambda s: exact(given("rack")),
+        given("out_zone_share") * target_size()[0] / ZONE,
         "21: no restart in that zone until they are back",
     ),
     Fact(
@@ -307,18 +328,18 @@
         A_ZONE,
         "gateways gone",
         "count",
-        lambda s: exactly(s.gateways / ZONE),
-        given("out_share") * coming()[0],
+        lambda s: exact(s.gateways / ZONE),
+        given("out_share") * target_size()[0],
         "200 out: no restart anywhere until they are back or given up",
     ),
-    Fact("zone_engines", A_ZONE, "engines gone", "count", lambda s: exactly(s.engines / ZONE)),
-    Fact("zone_load", A_ZONE, "more load on each of the rest", "share", lambda s: exactly(1 / (ZONE - 1))),
+    Fact("zone_engines", A_ZONE, "engines gone", "count", lambda s: exact(s.engines / ZONE)),
+    Fact("zone_load", A_ZONE, "more load on each of the rest", "share", lambda s: exact(1 / (ZONE - 1))),
     Fact(
         "zone_clients",
         A_ZONE,
         "clients that connect anew, a gateway left",
         "count",
-        lambda s: exactly(CLIENTS / (ZONE - 1)),
+        lambda s: exact(CLIENTS_PER_GATEWAY / (ZONE - 1)),
     ),
     Fact("zone_known", A_ZONE, "gateways gone, known to nine in ten", "s", _known),
     Fact(
@@ -335,8 +356,8 @@
         APART,
         "gateways without a lease, cut from the leader alone",
         "count",
-        lambda s: exactly(s.gateways / REGION),
-        given("out_share") * coming()[0],
+        lambda s: exact(s.gateways / REGION),
+        given("out_share") * target_size()[0],
         "200 out: no restart anywhere for the hour",
     ),
     Fact(
@@ -344,8 +365,8 @@
         APART,
         "until they act on the stricter of two, at most",
         "s",
-        lambda s: exactly(given("stated_s")),
-        IN_FORCE,
+        lambda s: exact(given("stated_s")),
+        IN_FORCE_BUDGET_S,
         "3 s",
     ),
     Fact(
@@ -353,7 +374,7 @@
         APART,
         "changes that can not be made: each drops for want of their word",
         "count",
-        lambda s: exactly(MISSED),
+        lambda s: exact(MISSED),
         0.0,
         "none",
     ),
@@ -362,11 +383,11 @@
         CARRIER,
         "a leader anew: election and T, at most",
         "s",
-        lambda s: exactly(given("election_s") + given("stated_s")),
-        PRIMARY,
+        lambda s: exact(given("election_s") + given("stated_s")),
+        PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
-        "carrier_leases", CARRIER, "a lease outlives it by, at most", "s", lambda s: exactly(given("lease_s"))
+        "carrier_leases", CARRIER, "a lease outlives it by, at most", "s", lambda s: exact(given("lease_s"))
     ),
 )
--- a/whintrail/scale/real.py
+++ b/whintrail/scale/real.py
@@ -26,14 +26,14 @@
 from whintrail.gateway.limits import BYTES_PER_MB
 from whintrail.scale import bulletin, engines, load
 from whintrail.scale.measure import Delays, read_process
-from whintrail.scale.procs import BoundError, Child, ChildError, Group
-from whintrail.scale.results import Sample, sample, save, this_machine
-from whintrail.standins.load import LoadClient
+from whintrail.scale.procs import BoundError, Child, ChildError, ProcessGroup
+from whintrail.scale.results import Sample, current_machine, sample, save_results
+from whintrail.standins.load_generator import LoadClient
 from whintrail.standins.scripted import listener
 
-ENGINES_A_PROCESS = 4000
-Command = TypeVar("Command", bound=Callable[..., Any])
-EVENTS = re.compile(r"event=bulletin\b.*?\bevents=(\d+)")
+ENGINES_PER_PROCESS = 4000
+CommandT = TypeVar("CommandT", bound=Callable[..., Any])
+EVENT_COUNT_PATTERN = re.compile(r"event=bulletin\b.*?\bevents=(\d+)")
 
 
 def free_ports(count: int) -> list[int]:
@@ -48,99 +48,115 @@
     """Hollow servers and real gateways of one size, all of them started."""
 
     def __init__(
-        self, group: Group, count: int, gateways: int, sockets: int, operator: dict[str, Any] | None = None
+        self,
+        group: ProcessGroup,
+        engine_count: int,
+        gateways: int,
+        socket_limit: int,
+        operator_file: dict[str, Any] | None = None,
     ) -> None:
         """`operator`: what the gateways' operator's file holds; None: they have none."""
-        self.group, self.count, self.sockets, self.operator = group, count, sockets, operator
+        self.group, self.engine_count, self.socket_limit, self.operator_file = (
+            group,
+            engine_count,
+            socket_limit,
+            operator_file,
+        )
         self.ports = free_ports(gateways)
         self.gateways: list[Child] = []
-        self.ready_s: list[float] = []
+        self.startup_times_s: list[float] = []
 
     async def start(self) -> None:
         group, parts = self.group, []
         self.engines = []
-        for first in range(0, self.count, ENGINES_A_PROCESS):
-            config = {"first": first, "count": min(ENGINES_A_PROCESS, self.count - first), "seed": first + 1}
+        for first in range(0, self.engine_count, ENGINES_PER_PROCESS):
+            config = {
+                "first": first,
+                "count": min(ENGINES_PER_PROCESS, self.engine_count - first),
+                "seed": first + 1,
+            }
             child, part = await group.start(f"engines{first}", "engine", "whintrail.scale.engines", config)
             self.engines.append(child)
             parts.append(tuple(part))
         self.engine_ports = {port for *_, port in parts}
-        entries = engines.entries(parts)
+        entries = engines.build_entries(parts)
         self.bulletin, told = await group.start(
             "bulletin", "bulletin", "whintrail.scale.bulletin", {"entries": entries}
         )
-        self.line_bytes, known = int(told["line_bytes"]), bulletin.known(entries)
+        self.line_bytes, known = int(told["line_bytes"]), bulletin.build_known_list(entries)
         self.clients, _ = await group.start("clients", "client", "whintrail.scale.load", {"seed": 1})
         self.pinger, _ = await group.start("pinger", "client", "whintrail.scale.load", {"seed": 2})
         for number, port in enumerate(self.ports):
             listen = f"127.0.0.1:{port}"
-            config = load.gateway_config(number, listen, told["where"], known, sockets=self.sockets)
+            config = load.gateway_config(number, listen, told["where"], known, sockets=self.socket_limit)
             began = time.monotonic()
-            self.gateways.append(await group.start_gateway(f"n{number}", config, self.operator))
+            self.gateways.append(await group.start_gateway(f"n{number}", config, self.operator_file))
             if not all(await self.clients.ask("serves", ports=[port], tries=600)):
                 raise BoundError(f"n{number} does not serve: see its log")
-            self.ready_s.append(time.monotonic() - began)
+            self.startup_times_s.append(time.monotonic() - began)
 
-    async def applied(self, number: int, event: int, published: float, patience_s: float) -> float | None:
+    async def wait_applied(
+        self, number: int, event_number: int, published_at_s: float, patience_s: float
+    ) -> float | None:
         """Seconds from publishing until a gateway holds an event and has answered an empty query after; None
         if it doesn't within the patience. It is asked for its counters (SIGUSR1) each 10 ms: once it has it,
         it has counted as many events as the number says."""
         child, client = self.gateways[number], LoadClient(self.ports[number])
         place = child.log.stat().st_size
         try:
-            while time.monotonic() - published < patience_s:
+            while time.monotonic() - published_at_s < patience_s:
                 child.signal(signal.SIGUSR1)
                 await asyncio.sleep(0.01)
                 with open(child.log, "rb") as file:
                     file.seek(place)
-                    seen = [int(text) for text in EVENTS.findall(file.read().decode())]
-                if seen and max(seen) >= event:
+                    seen = [int(text) for text in EVENT_COUNT_PATTERN.findall(file.read().decode())]
+                if seen and max(seen) >= event_number:
                     with suppress(OSError):  # it may make room for another session: asked anew
-                        await client.ask("")
-                        return time.monotonic() - published
+                        await client.run_query("")
+                        return time.monotonic() - published_at_s
                     client.close()
             return None
         finally:
             client.close()
 
-    async def publish(self, do: str, patience_s: float, **fields: Any) -> list[float | None]:
+    async def publish(self, command: str, patience_s: float, **fields: Any) -> list[float | None]:
         """Publish an event; for each gateway, the seconds until it holds it."""
-        answer = await self.bulletin.ask(do, **fields)
+        answer = await self.bulletin.ask(command, **fields)
         number = answer["no"] if isinstance(answer, dict) else answer
         at = (await self.bulletin.ask("times", after=number - 1))[str(number)]
-        waits = (self.applied(n, number, at, patience_s) for n in range(len(self.gateways)))
+        waits = (self.wait_applied(n, number, at, patience_s) for n in range(len(self.gateways)))
         return list(await asyncio.gather(*waits))
 
 
-class Measure:
+class Measurement:
     def __init__(self, site: Site, rate: float, seconds: float, subset: int) -> None:
         self.site, self.rate, self.seconds, self.subset = site, rate, seconds, subset
-        self.sizes = len(site.ports), site.count
-        self.taken: list[Sample] = []
+        self.sizes = len(site.ports), site.engine_count
+        self.samples: list[Sample] = []
 
-    def note(self, quantity: str, unit: str, values: Sequence[float], note: str = "", **more: Any) -> None:
+    def record(self, quantity: str, unit: str, values: Sequence[float], note: str = "", **more: Any) -> None:
         if not values:
             return
         one = sample(quantity, unit, self.sizes, list(values), "real")
-        self.add(structs.replace(one, note=note, **more))
+        self.add_sample(structs.replace(one, note=note, **more))
 
-    def add(self, one: Sample) -> None:
-        self.taken.append(structs.replace(one, subset=self.subset))
+    def add_sample(self, one: Sample) -> None:
+        self.samples.append(structs.replace(one, subset=self.subset))
         click.echo(f"  {one.quantity} {one.value:.6g} {one.unit} {one.note}", err=True)
 
-    async def idle(self) -> None:
+    async def measure_idle(self) -> None:
         site = self.site
         await asyncio.sleep(2.0)  # what starting left behind
         before = [read_process(child.pid) for child in site.gateways]
         await asyncio.sleep(self.seconds)
         after = [read_process(child.pid) for child in site.gateways]
         shares = [(b.cpu_s - a.cpu_s) / (b.at_s - a.at_s) for a, b in zip(before, after, strict=True)]
-        self.note("ready_s", "s", site.ready_s, "from its start, whole list in the configuration")
-        self.note("idle_cpu_share", "share", shares, "no queries, probes as the module wants them")
-        self.note("rss_bytes", "bytes", [r.rss_bytes for r in after], "idle")
-        self.note("list_line_bytes", "bytes", [site.line_bytes], role="bulletin")
+        self.record("ready_s", "s", site.startup_times_s, "from its start, whole list in the configuration")
+        self.record("idle_cpu_share", "share", shares, "no queries, probes as the module wants them")
+        self.record("rss_bytes", "bytes", [r.rss_bytes for r in after], "idle")
+        self.record("list_line_bytes", "bytes", [site.line_bytes], role="bulletin")
 
-    async def load(self, repeats: int) -> None:
+    async def measure_load(self, repeats: int) -> None:
         """At the rate and at twice the rate by turns; what one more query costs is in the difference."""
         site, delays, ends = self.site, Delays(), Counter[str]()
         per_query: list[float] = []
@@ -148,8 +164,8 @@
         shares: list[float] = []
         probes: list[float] = []
         for _ in range(repeats):
-            one = await self._loaded(self.rate)
-            two = await self._loaded(2 * self.rate)
+            one = await self._run_load(self.rate)
+            two = await self._run_load(2 * self.rate)
             delays.histogram.decode_and_add(one["delays"].encode())
             ends += Counter(one["ends"])
             shares += one["shares"]
@@ -160,23 +176,23 @@
                 more = sum(two["shares"]) - sum(one["shares"])
                 marginal.append(more / (two["served_per_s"] - one["served_per_s"]) * 1e6)
         note, served = f"at {self.rate:.0f}/s a gateway", ends["served"]
-        self.note("query_cpu_us", "us", per_query, f"{note}, control work in it")
-        self.note("query_marginal_cpu_us", "us", marginal, f"from {self.rate:.0f} to {2 * self.rate:.0f}/s")
+        self.record("query_cpu_us", "us", per_query, f"{note}, control work in it")
+        self.record("query_marginal_cpu_us", "us", marginal, f"from {self.rate:.0f} to {2 * self.rate:.0f}/s")
         if served:
-            self.add(delays.sample("query_p99_ms", "ms", self.sizes, "real", at=0.99, note=note))
-            self.add(delays.sample("query_p50_ms", "ms", self.sizes, "real", note=note))
-        self.note("load_cpu_share", "share", shares, note)
+            self.add_sample(delays.sample("query_p99_ms", "ms", self.sizes, "real", share=0.99, note=note))
+            self.add_sample(delays.sample("query_p50_ms", "ms", self.sizes, "real", note=note))
+        self.record("load_cpu_share", "share", shares, note)
         counted = ", ".join(f"{end} {count}" for end, count in sorted(ends.items()))
-        self.note("not_served_share", "share", [1 - served / max(1, ends.total())], f"{note}: {counted}")
-        links = [float(load.connections_to(child.pid, site.engine_ports)) for child in site.gateways]
-        self.note("connections", "count", links, f"to engines, {site.sockets} descriptors allowed")
-        self.note("probes_per_s", "count", probes, f"{note}, by gateway")
+        self.record("not_served_share", "share", [1 - served / max(1, ends.total())], f"{note}: {counted}")
+        links = [float(load.count_connections(child.pid, site.engine_ports)) for child in site.gateways]
+        self.record("connections", "count", links, f"to engines, {site.socket_limit} descriptors allowed")
+        self.record("probes_per_s", "count", probes, f"{note}, by gateway")
         after = [read_process(child.pid) for child in site.gateways]
-        self.note("descriptors", "count", [r.descriptors for r in after], note)
-        self.note("rss_bytes", "bytes", [r.rss_bytes for r in after], note)
+        self.record("descriptors", "count", [r.descriptors for r in after], note)
+        self.record("rss_bytes", "bytes", [r.rss_bytes for r in after], note)
 
-    async def _loaded(self, rate: float) -> dict[str, Any]:
-        site, probes = self.site, await self._probes()
+    async def _run_load(self, rate: float) -> dict[str, Any]:
+        site, probes = self.site, await self._count_probes()
         before = [read_process(child.pid) for child in site.gateways]
         patience = self.seconds + 30
         told: dict[str, Any] = await site.clients.ask(
@@ -189,21 +205,23 @@
             **told,
             "shares": shares,
             "served_per_s": told["ends"].get("served", 0) / passed,
-            "probes_per_s": (await self._probes() - probes) / passed / len(site.ports),
+            "probes_per_s": (await self._count_probes() - probes) / passed / len(site.ports),
         }
 
-    async def _probes(self) -> int:
+    async def _count_probes(self) -> int:
         return sum([int((await child.ask("counts"))["probes"]) for child in self.site.engines])
 
-    async def lists(self, deltas: int, wholes: int) -> None:
+    async def measure_list_changes(self, deltas: int, full_lists: int) -> None:
         site = self.site
         await site.pinger.ask("ping", ports=site.ports, every_s=0.01)
         await asyncio.sleep(0.5)
         await site.pinger.ask("stalls")  # sessions have opened
         await asyncio.sleep(1.0)
         quiet = await site.pinger.ask("stalls")
-        self.note("loop_stall_ms", "ms", [quiet["longest_s"] * 1e3], "an empty query's longest answer, idle")
-        for do, count, name in (("change", deltas, "one entry"), ("whole", wholes, "whole list")):
+        self.record(
+            "loop_stall_ms", "ms", [quiet["longest_s"] * 1e3], "an empty query's longest answer, idle"
+        )
+        for do, count, name in (("change", deltas, "one entry"), ("whole", full_lists, "whole list")):
             found: list[float] = []
             stalls: list[float] = []
             lost = 0
@@ -214,14 +232,14 @@
                 lost += sum(seconds is None for seconds in each)
                 await asyncio.sleep(0.2)
                 stalls.append((await site.pinger.ask("stalls"))["longest_s"] * 1e3)
-            self.note("list_apply_s", "s", found, name)
-            self.note("loop_stall_ms", "ms", stalls, f"an empty query's longest answer, {name}")
-            self.note("list_lost", "count", [float(lost)], f"{name}: not had in time, of {count} each")
+            self.record("list_apply_s", "s", found, name)
+            self.record("loop_stall_ms", "ms", stalls, f"an empty query's longest answer, {name}")
+            self.record("list_lost", "count", [float(lost)], f"{name}: not had in time, of {count} each")
         if lost:
-            await self.refused()
+            await self.measure_refused_list()
         await site.pinger.ask("ping", ports=[])
 
-    async def refused(self) -> None:
+    async def measure_refused_list(self) -> None:
         """The whole list is over the gateway's bound: what is asked for again, and what that costs."""
         site = self.site
         before = await site.bulletin.ask("state")
@@ -233,12 +251,14 @@
             (read_process(c.pid).cpu_s - r.cpu_s) / passed for c, r in zip(site.gateways, cpu, strict=True)
         ]
         each, note = passed * len(site.ports), "after a whole list over the bound"
-        self.note("bulletin_asked_per_s", "count", [(after["asked"] - before["asked"]) / each], note)
-        self.note("list_bytes_in_per_s", "bytes/s", [(after["bytes_out"] - before["bytes_out"]) / each], note)
-        self.note("idle_cpu_share", "share", used, note)
-        self.note("list_lost", "count", [float(change.count(None))], f"one entry {note}, of {len(change)}")
+        self.record("bulletin_asked_per_s", "count", [(after["asked"] - before["asked"]) / each], note)
+        self.record(
+            "list_bytes_in_per_s", "bytes/s", [(after["bytes_out"] - before["bytes_out"]) / each], note
+        )
+        self.record("idle_cpu_share", "share", used, note)
+        self.record("list_lost", "count", [float(change.count(None))], f"one entry {note}, of {len(change)}")
 
-    async def most(self, sessions: int) -> None:
+    async def measure_throughput(self, sessions: int) -> None:
         site = self.site
         before = read_process(site.gateways[0].pid)
         asked = {"port": site.ports[0], "sessions": sessions // 2, "seconds": self.seconds}
@@ -250,9 +270,9 @@
         ends = sum((Counter[str](half["ends"]) for half in told), Counter[str]())
         note = f"one gateway, {sessions} sessions, {share:.2f} of a core"
         note += f", {ends['served']} of {ends.total()} served"
-        self.note("queries_per_s", "count", [ends["served"] / max(half["took_s"] for half in told)], note)
+        self.record("queries_per_s", "count", [ends["served"] / max(half["took_s"] for half in told)], note)
 
-    async def sessions(self, count: int) -> None:
+    async def measure_session_memory(self, count: int) -> None:
         site, rss = self.site, []
         for _ in range(4):
             rss.append(read_process(site.gateways[0].pid).rss_bytes)
@@ -260,11 +280,11 @@
             await asyncio.sleep(0.5)
         rss.append(read_process(site.gateways[0].pid).rss_bytes)
         whole = (rss[-1] - rss[0]) / (count // 4 * 4)
-        self.note("memory_a_connection_bytes", "bytes", [whole], f"{count} idle sessions at one gateway")
+        self.record("memory_a_connection_bytes", "bytes", [whole], f"{count} idle sessions at one gateway")
         await site.clients.ask("release")
 
 
-class Asked(Struct, frozen=True, kw_only=True):
+class MeasureOptions(Struct, frozen=True, kw_only=True):
     """What to measure."""
 
     sizes: tuple[int, ...]  # engines on the list
@@ -278,35 +298,37 @@
     subset: int
 
 
-async def measure(folder: Path, asked: Asked, memory_mb: float, seconds: float) -> tuple[list[Sample], str]:
+async def measure(
+    folder: Path, options: MeasureOptions, memory_mb: float, seconds: float
+) -> tuple[list[Sample], str]:
     """Size by size; where a bound is passed, what was taken until then, and the line that tells it."""
     taken: list[Sample] = []
     ends = time.monotonic() + seconds
-    for count in asked.sizes:
-        click.echo(f"{count} engines, {asked.gateways} gateways", err=True)
-        async with Group(folder / str(count), memory_mb, ends - time.monotonic()) as group:
-            site = Site(group, count, asked.gateways, asked.descriptors, asked.operator)
-            one = Measure(site, asked.rate, asked.phase_seconds, asked.subset)
+    for count in options.sizes:
+        click.echo(f"{count} engines, {options.gateways} gateways", err=True)
+        async with ProcessGroup(folder / str(count), memory_mb, ends - time.monotonic()) as group:
+            site = Site(group, count, options.gateways, options.descriptors, options.operator)
+            one = Measurement(site, options.rate, options.phase_seconds, options.subset)
 
-            async def work(site: Site = site, one: Measure = one) -> None:
+            async def work(site: Site = site, one: Measurement = one) -> None:
                 await site.start()
-                await one.idle()
-                await one.sessions(asked.sessions)  # before anything else takes memory
-                await one.load(asked.repeats)
+                await one.measure_idle()
+                await one.measure_session_memory(options.sessions)  # before anything else takes memory
+                await one.measure_load(options.repeats)
                 await asyncio.sleep(2.0)  # what an overload left behind
-                await one.lists(deltas=10, wholes=3)
-                await one.most(sessions=128)
+                await one.measure_list_changes(deltas=10, full_lists=3)
+                await one.measure_throughput(sessions=128)
 
             try:
-                await group.within(work())
+                await group.run_within_bounds(work())
             except (BoundError, ChildError, OSError) as error:
                 return taken, f"ended at {count} engines: {error}"
             finally:
-                taken.extend(one.taken)
+                taken.extend(one.samples)
     return taken, ""
 
 
-def bound_option(name: str, default: float, text: str) -> Callable[[Command], Command]:
+def bound_option(name: str, default: float, text: str) -> Callable[[CommandT], CommandT]:
     return click.option(name, type=click.FloatRange(min=0.01), default=default, show_default=True, help=text)
 
 
@@ -332,15 +354,15 @@
     **given: Any,
 ) -> None:
     """Measure real gateways alone before hollow engines and a hollow bulletin."""
-    began, machine = time.time(), this_machine()
+    began, machine = time.time(), current_machine()
     operator = None if file is None else msgspec.json.decode(file.read_bytes(), type=dict[str, Any])
-    asked = Asked(sizes=sizes or (80, 1000, 4000, 7000, 15_000), operator=operator, **given)
+    asked = MeasureOptions(sizes=sizes or (80, 1000, 4000, 7000, 15_000), operator=operator, **given)
     with tempfile.TemporaryDirectory(prefix="whintrail-scale-") as folder:
         taken, ended = asyncio.run(measure(Path(folder), asked, memory_mb, seconds))
     if to is not None:
         command = "python -m whintrail.scale.real " + shlex.join(sys.argv[1:])
         note = "hollow: engines and bulletin; their processes share the machine's cores with the gateways"
-        save(to, command, began, machine, taken, f"{note}; {ended}" if ended else note)
+        save_results(to, command, began, machine, taken, f"{note}; {ended}" if ended else note)
     if ended:
         raise click.ClickException(ended)
 
--- a/whintrail/scale/results.py
+++ b/whintrail/scale/results.py
@@ -61,13 +61,13 @@
     note: str = ""
 
 
-def this_machine() -> Machine:
+def current_machine() -> Machine:
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") >> 20
     cores, python = os.cpu_count() or 1, platform.python_version()
     return Machine(cores=cores, memory_mb=memory, python=python, load=round(os.getloadavg()[0], 2))
 
 
-def this_commit() -> str:
+def current_commit() -> str:
     """The commit of the tree that runs, with a plus where files differ from it; empty outside a checkout."""
     root = Path(__file__).parents[2]
     try:
@@ -77,7 +77,7 @@
         return ""
 
 
-def sample(quantity: str, unit: str, sizes: tuple[int, int], values: list[float], kind: Kind) -> Sample:
+def sample(quantity: str, unit: str, size: tuple[int, int], values: list[float], kind: Kind) -> Sample:
     """The median of the values with their 5th and 95th hundredth; `sizes`: gateways, engines."""
     ranked = sorted(values)
     last = len(ranked) - 1
@@ -85,8 +85,8 @@
     return Sample(
         quantity=quantity,
         unit=unit,
-        gateways=sizes[0],
-        engines=sizes[1],
+        gateways=size[0],
+        engines=size[1],
         value=median(ranked),  # of two the mean
         low=low,
         high=high,
@@ -95,13 +95,15 @@
     )
 
 
-def save(path: Path, command: str, began: float, machine: Machine, samples: list[Sample], note: str) -> None:
+def save_results(
+    path: Path, command: str, started_at_s: float, machine: Machine, samples: list[Sample], note: str
+) -> None:
     """`began`: time.time() when the command began; `machine` as it was then."""
     results = Results(
         command=command,
-        commit=this_commit(),
-        taken_at=time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(began)),
-        took_s=round(time.time() - began, 1),
+        commit=current_commit(),
+        taken_at=time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(started_at_s)),
+        took_s=round(time.time() - started_at_s, 1),
         machine=machine,
         samples=samples,
         note=note,
@@ -110,7 +112,7 @@
     path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
 
 
-def load(path: Path) -> Results:
+def load_results(path: Path) -> Results:
     try:
         return msgspec.json.decode(path.read_bytes(), type=Results)
     except (OSError, msgspec.DecodeError) as error:
--- a/whintrail/scale/run.py
+++ b/whintrail/scale/run.py
@@ -9,13 +9,13 @@
 import click
 import structlog
 
-from whintrail.scale.days import Days
+from whintrail.scale.days import DayPlayer
 from whintrail.scale.plan import PlanError, Size, Sweep, read_sweep
-from whintrail.scale.procs import BoundError, ChildError, Group
-from whintrail.scale.results import Sample, save, this_machine
+from whintrail.scale.procs import BoundError, ChildError, ProcessGroup
+from whintrail.scale.results import Sample, current_machine, save_results
 from whintrail.scale.rig import Rig, SizeError
 
-NOTE = (
+RESULTS_NOTE = (
     "Hollow gateways run the program's owner, module, peers, bulletin reader and fleet part with real"
     " datagrams on loopback, many to a process; they have no sessions and no links to engines. Engines are a"
     " model in the process: a query is answered after 20 ms in the mean, a probe after 1 ms with a load drawn"
@@ -25,7 +25,7 @@
 )
 
 
-def log() -> structlog.typing.FilteringBoundLogger:
+def build_logger() -> structlog.typing.FilteringBoundLogger:
     processors: list[structlog.typing.Processor] = [
         structlog.processors.TimeStamper(fmt="%H:%M:%S", utc=True),
         structlog.processors.LogfmtRenderer(key_order=["timestamp", "event"]),
@@ -36,25 +36,27 @@
     return made
 
 
-async def play(size: Size, folder: Path, seconds: float, memory_mb: float) -> tuple[list[Sample], list[str]]:
+async def play_size(
+    size: Size, folder: Path, seconds: float, memory_mb: float
+) -> tuple[list[Sample], list[str]]:
     """Its samples and the auditor's breaches. Errors: BoundError, SizeError, ChildError."""
-    said = log().bind(size=size.name)
-    async with Group(folder, memory_mb=memory_mb, seconds=seconds) as group:
+    said = build_logger().bind(size=size.name)
+    async with ProcessGroup(folder, memory_mb=memory_mb, seconds=seconds) as group:
         rig = Rig(size, group, said.info)
-        days = Days(rig, said.info)
+        days = DayPlayer(rig, said.info)
 
         async def whole() -> None:
             began = time.monotonic()
             await rig.start()
             said.info("started", processes=len(group.children), took_s=round(time.monotonic() - began, 1))
-            joined = await rig.joined(size.join_s)
-            days.take(size.days[0], "joined_s", "s", [joined], role="fleet")
+            joined = await rig.wait_until_joined(size.join_s)
+            days.record(size.days[0], "joined_s", "s", [joined], role="fleet")
             said.info("joined", took_s=round(joined, 1))
             for day in size.days:
                 await days.play(day)
 
         try:
-            await group.within(whole())
+            await group.run_within_bounds(whole())
         except (BoundError, SizeError, ChildError, TimeoutError) as error:
             said.error("ended", why=str(error) or type(error).__name__)
             return days.samples, [*rig.auditor.breaches, f"not whole: {error}"]
@@ -66,7 +68,7 @@
     bad: list[str] = []
     end = time.monotonic() + seconds
     for size in sweep.sizes:
-        left, began, machine = end - time.monotonic(), time.time(), this_machine()
+        left, began, machine = end - time.monotonic(), time.time(), current_machine()
         if left <= 1:
             bad.append(f"{size.name}: not run, no time left")
             continue
@@ -75,7 +77,7 @@
                 import uvloop
 
                 with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-                    found, breaches = runner.run(play(size, Path(folder), left, memory_mb))
+                    found, breaches = runner.run(play_size(size, Path(folder), left, memory_mb))
             except KeyboardInterrupt:
                 click.echo("whintrail: interrupted, all processes ended", err=True)
                 return 130
@@ -84,14 +86,14 @@
         if to is not None:  # after each size: what is measured is kept
             told = "; ".join(breaches)[:1500] or "none"
             path = to / f"run-{size.name}.json" if to.is_dir() else to
-            save(path, command, began, machine, found, f"{NOTE} Breaches: {told}.")
+            save_results(path, command, began, machine, found, f"{RESULTS_NOTE} Breaches: {told}.")
     for line in bad[:20]:
         click.echo(f"whintrail: {line}", err=True)
     click.echo(f"{len(sweep.sizes)} sizes, {count} samples, {len(bad)} breaches")
     return 1 if bad else 0
 
 
-def _options(command: click.decorators.FC) -> click.decorators.FC:
+def _add_options(command: click.decorators.FC) -> click.decorators.FC:
     for option in (
         click.option("--seconds", type=click.FloatRange(5, 86_400), default=600.0, show_default=True),
         click.option("--memory-mb", type=click.FloatRange(100, 12_000), default=4000.0, show_default=True),
@@ -101,7 +103,7 @@
     return command
 
 
-def _read(file: Path) -> Sweep:
+def _read_sweep_file(file: Path) -> Sweep:
     try:
         return read_sweep(file)
     except PlanError as error:
@@ -111,13 +113,13 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
 @click.option("--size", "name", help="Which one of the file's; default: its first.")
-@_options
+@_add_options
 def run(file: Path, name: str | None, seconds: float, memory_mb: float, to: Path | None) -> int:
     """Play one size of FILE: hollow and real gateways, real datagrams, days with faults, an auditor.
 
     Exit status 1 where the auditor found a breach or the size could not be played within the bounds.
     """
-    sweep = _read(file)
+    sweep = _read_sweep_file(file)
     chosen = [size for size in sweep.sizes if name in (None, size.name)][:1]
     if not chosen:
         raise click.ClickException(f"{file}: no size {name}")
@@ -127,10 +129,10 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
-@_options
+@_add_options
 def sweep(file: Path, seconds: float, memory_mb: float, to: Path | None) -> int:
     """Play all sizes of FILE one after another; --to is a folder, in which each size has a file run-NAME.json
     as soon as it is over."""
     if to is not None:
         to.mkdir(parents=True, exist_ok=True)
-    return _play_all(_read(file), seconds, memory_mb, to, f"whintrail scale sweep {file}")
+    return _play_all(_read_sweep_file(file), seconds, memory_mb, to, f"whintrail scale sweep {file}")
--- a/whintrail/scale/simulate.py
+++ b/whintrail/scale/simulate.py
@@ -30,8 +30,8 @@
 from whintrail.fleet.membership import MemberState
 from whintrail.fleet.node import FleetConfig
 from whintrail.fleet.wire import DONE, SlotRequest, VersionRequest
-from whintrail.scale.results import Kind, Sample, sample, save, this_machine
-from whintrail.standins.simulated import Process, World
+from whintrail.scale.results import Kind, Sample, current_machine, sample, save_results
+from whintrail.standins.fleet_simulation import FleetSimulation, Process
 from whintrail.versions.member import VersionTiming
 from whintrail.versions.rules import Rules, canonicalize
 
@@ -48,7 +48,7 @@
 COST = """
 import gc, sys, time
 from whintrail.fleet.node import Given
-from whintrail.standins.simulated import World
+from whintrail.standins.fleet_simulation import World
 from whintrail.versions.member import VersionPace
 count, seed = int(sys.argv[1]), int(sys.argv[2])
 def given(number, build):
@@ -114,7 +114,7 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-class Bounded(World):
+class Bounded(FleetSimulation):
     """Looks at its bounds while it is made and while it runs."""
 
     def __init__(self, job: Job, given: Callable[[int, str], FleetConfig]) -> None:
@@ -151,7 +151,7 @@
         self.count = job.gateways
         began = time.process_time()
         self.world = Bounded(job, self.given)
-        self.world.acquaint()
+        self.world.assume_all_known()
         found.add("build_s", "s", time.process_time() - began)
         self.changes = 0
 
@@ -209,7 +209,7 @@
         others = [n for n in range(self.count) if n not in COUNCIL]
         watched = {n: Timed(self._process(n)) for n in (leader, *self.random.sample(others, 5))}
         before = list(self._traffic())
-        removals = sum(world.node(n).membership.removals for n in world.up())
+        removals = sum(world.node(n).membership.removals for n in world.running_numbers())
         began = time.process_time()
         world.go(seconds)
         spent = time.process_time() - began
@@ -238,7 +238,7 @@
         for number, timed in watched.items():
             if number != leader:
                 self.found.add("member_cpu_share", "share", timed.spent / seconds)
-        false = sum(world.node(n).membership.removals for n in world.up()) - removals
+        false = sum(world.node(n).membership.removals for n in world.running_numbers()) - removals
         self.found.add("false_removals", "count", false / (self.count * seconds / 3600))
         self.found.add("memory_mb", "MB", memory_mb())
 
@@ -249,12 +249,14 @@
 
     def _traffic(self) -> Iterator[tuple[float, ...]]:
         world = self.world
-        yield from zip(world.copies, world.copied_bytes, world.heard, world.heard_bytes, strict=True)
+        yield from zip(
+            world.sent_copies, world.sent_copy_bytes, world.received, world.received_bytes, strict=True
+        )
 
     def bounds(self) -> None:
         """With the bounds of messages and bytes a second that a gateway has where the file says nothing."""
         world, usual = self.world, FleetConfig("f", 0, 1, (0,))
-        nodes = [world.node(n) for n in world.up()]
+        nodes = [world.node(n) for n in world.running_numbers()]
         for node in nodes:
             spending = node.send_budget
             spending.messages_per_s, spending.bytes_per_s = usual.messages_per_s, usual.bytes_per_s
@@ -264,7 +266,7 @@
         leader, unleased, looks = self.lead(), 0, 20
         for _ in range(looks):
             world.go(5 / looks)
-            unleased += sum(not self._acts(n, 0) for n in world.up())
+            unleased += sum(not self._acts(n, 0) for n in world.running_numbers())
         held = [node.counters["held_back"] - b for node, b in zip(nodes, before, strict=True)]
         sent = [node.counters["sent"] - b for node, b in zip(nodes, sent, strict=True)]
         note = f"bounds of {usual.messages_per_s:g} datagrams and {usual.bytes_per_s:g} bytes a second"
@@ -304,10 +306,10 @@
 
     def one_after_another(self) -> None:
         for _ in range(4):
-            world, began, lines = self.world, self.world.now, len(self.world.lines)
+            world, began, lines = self.world, self.world.now, len(self.world.log_lines)
             self.lead()
-            version, _ = self._propose(self.random.choice(world.up()))
-            left = set(world.up())
+            version, _ = self._propose(self.random.choice(world.running_numbers()))
+            left = set(world.running_numbers())
 
             def everywhere(left: set[int] = left, version: int = version) -> bool:
                 left -= {number for number in left if self._acts(number, version)}
@@ -315,7 +317,7 @@
 
             done = world.go(25, everywhere)
             steps: dict[str, int] = {}
-            for at, _, what, more in world.lines[lines:]:
+            for at, _, what, more in world.log_lines[lines:]:
                 if more.get("version") == version:
                     steps.setdefault(what, at)
             if done:
@@ -326,10 +328,12 @@
                 for name, a, b in zip(names, marks, marks[1:], strict=False):
                     self.found.add(f"version_{name}_s", "s", (b - a) / 1e6, note=note)
             else:
-                dropped = [str(more) for _, _, what, more in world.lines[lines:] if what == "version dropped"]
+                dropped = [
+                    str(more) for _, _, what, more in world.log_lines[lines:] if what == "version dropped"
+                ]
                 why = dropped[0] if dropped else f"{len(left)} don't act on it, {sorted(steps)}"
                 self.found.said.append(f"{self.count}: change {version} not in force within 25 s: {why}")
-            world.lines.clear()
+            world.log_lines.clear()
             world.go(2)
 
     def rate(self, per_s: float, note: str, seconds: float = 20.0) -> None:
@@ -346,7 +350,7 @@
             who = self.lead()
             if waiting and self._free(who) and (not under or under[-1][1] <= self._version()):
                 version, _ = self._propose(who)
-                under.append((waiting.popleft(), version, set(world.up())))
+                under.append((waiting.popleft(), version, set(world.running_numbers())))
             world.go(POLL_S)
             for each in list(under):
                 each[2].difference_update({number for number in each[2] if self._acts(number, each[1])})
@@ -405,7 +409,7 @@
 
         def suspects() -> bool:
             for victim in sorted(left):
-                lives = [world.node(n).membership.members[victim].state for n in world.up()]
+                lives = [world.node(n).membership.members[victim].state for n in world.running_numbers()]
                 if sum(life is MemberState.GONE for life in lives) >= known:
                     left.discard(victim)
                     self.found.add("removal_known_s", "s", (world.now - began) / 1e6, day="losses")
@@ -417,7 +421,7 @@
             self.lead()
             at = world.now
             world.start(victim)
-            heard = world.heard[victim]
+            heard = world.received[victim]
 
             def held(victim: int = victim) -> bool:
                 return world.node(victim).replica.position >= world.node(self.lead()).replica.position
@@ -425,7 +429,7 @@
             if world.go(30, held):
                 note = f"state of {len(world.state().encode())} bytes"
                 self.found.add("state_newcomer_s", "s", (world.now - at) / 1e6, day="losses")
-                count = float(world.heard[victim] - heard)
+                count = float(world.received[victim] - heard)
                 self.found.add("state_newcomer_datagrams", "count", count, day="losses", note=note)
             else:
                 self.found.said.append(f"{self.count}: a newcomer holds no state after 30 s")
@@ -542,7 +546,7 @@
     to: Path,
 ) -> None:
     """Whole fleets in simulated time: what members and the leader send, and how long changes take."""
-    began, machine = time.time(), this_machine()
+    began, machine = time.time(), current_machine()
     samples: list[Sample] = []
     if before is not None:
         samples += costs(before, cost_sizes, 3, "before, from a start")
@@ -561,7 +565,7 @@
                 made = sample(quantity, unit, (count, 0), values, KIND)
                 taken.append(replace_note(made, role=role, day=day, note=note))
         command = "whintrail scale " + " ".join(["simulate", *sys.argv[3:]])
-        save(to, command, began, machine, taken, "; ".join(said))
+        save_results(to, command, began, machine, taken, "; ".join(said))
 
     bounds = cpu_seconds, memory_mb, parts or PARTS
     todo = [Job(count, seed, seconds, *bounds) for count in gateways for seed in range(1, seeds + 1)]
--- a/whintrail/scale/slopes.py
+++ b/whintrail/scale/slopes.py
@@ -11,7 +11,7 @@
 from whintrail.gateway.limits import Limits
 from whintrail.scale import slopes_fleet, slopes_memos, slopes_module, slopes_versions
 from whintrail.scale.deployment import Deployment
-from whintrail.scale.results import Sample, save, this_machine
+from whintrail.scale.results import Sample, current_machine, save_results
 from whintrail.scale.timing import Bench, BoundError, collector, peak_mb
 from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
@@ -173,7 +173,7 @@
     """
     if subset and len(played_engines) != len(played_gateways):
         raise click.UsageError("with --subset, as many --played-engines as --played-gateways are wanted")
-    began, machine = time.time(), this_machine()
+    began, machine = time.time(), current_machine()
     run = Run(
         Bench(time.monotonic() + seconds, memory_mb), repeats, lambda text: click.echo(text, err=True), subset
     )
@@ -201,7 +201,7 @@
     given |= {"played-engines": played_engines, "played-gateways": played_gateways, "rate": rate}
     typed = [f"--{name} {_text(value)}" for name, value in given.items()]
     samples = [replace(one, subset=subset) for one in merged(run.samples)]
-    save(to, " ".join([context.command_path, *typed]), began, machine, samples, note.strip())
+    save_results(to, " ".join([context.command_path, *typed]), began, machine, samples, note.strip())
     click.echo(f"{len(merged(run.samples))} samples to {to}, {peak_mb():.0f} MB at most", err=True)
     if ended:
         raise click.ClickException(ended)
--- a/whintrail/scale/slopes_fleet.py
+++ b/whintrail/scale/slopes_fleet.py
@@ -28,14 +28,14 @@
     fleet_id,
 )
 from whintrail.gateway.fleet import TICK_INTERVAL_S, build_node_config
-from whintrail.scale.deployment import SECOND, Deployment
+from whintrail.scale.deployment import SECOND_US, Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.slopes_memos import HEADERS
 from whintrail.scale.timing import Bench, cpu_us, held_bytes, traced
 from whintrail.versions.rules import Rules
 
 TURN_US = int(TICK_INTERVAL_S * 1e6)
-TURNS = SECOND // TURN_US
+TURNS = SECOND_US // TURN_US
 COUNCIL = (0, 1, 2)
 NAME = "scale"
 BEGAN = 1_000_000_000
@@ -195,7 +195,7 @@
                     stamp = self.now // 1000 & 0xFFFFFFFF
                     mail.append((number, leader, self._letter(number, LeaseRequest(stamp, 0, False, 0, ""))))
                 target = self.random.randrange(self.count)  # in a period each pings one other
-                if target in self.nodes and self.random.random() < TURN_US / SECOND:
+                if target in self.nodes and self.random.random() < TURN_US / SECOND_US:
                     mail.append((number, target, self._letter(number, Ping(1, self.note, ()))))
         while mail:
             later: list[tuple[int, int, bytes]] = []
@@ -236,7 +236,7 @@
         return []
 
     def run(self, seconds: float, bench: Bench, asks: bool) -> None:
-        for _ in range(int(seconds * SECOND / TURN_US)):
+        for _ in range(int(seconds * SECOND_US / TURN_US)):
             bench.check()
             self.turn(asks)
 
--- a/whintrail/scale/slopes_memos.py
+++ b/whintrail/scale/slopes_memos.py
@@ -13,7 +13,7 @@
 
 from whintrail import interface as api
 from whintrail.routing import SWEEP_INTERVAL_US, SWEEP_TIMER, RoutingPolicy
-from whintrail.scale.deployment import SECOND, Deployment
+from whintrail.scale.deployment import SECOND_US, Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.timing import Bench
 from whintrail.subset.assignment import SubsetAssignment
@@ -21,7 +21,7 @@
 from whintrail.subset.report_sender import BATCH_INTERVAL_US, SLOTS_PER_BATCH, ProbeReportSender
 
 HEADERS = 28  # bytes of IPv4 and UDP in front of each datagram
-SETTLE_US, COUNT_US = 6 * SECOND, 10 * SECOND
+SETTLE_US, COUNT_US = 6 * SECOND_US, 10 * SECOND_US
 PROBE_US, DATAGRAM_US = 500, 300  # until a probe's answer, and until a datagram arrives
 PROBES_AN_ENGINE = 3.0  # queries a gateway, at least so many for each engine's probe that falls to it
 CHECK_EACH = 2000
@@ -60,9 +60,9 @@
         heappush(self.queue, (when, self.numbered, what))
 
     def begin(self) -> None:
-        self.random, self.now = Random(self.seed), self.deployment.started_ms * 1000 + 3600 * SECOND
-        listed = self.deployment.listed(api.ListKind.CACHED)
-        self.running = dict.fromkeys(self.deployment.names(), 0)
+        self.random, self.now = Random(self.seed), self.deployment.first_started_ms * 1000 + 3600 * SECOND_US
+        listed = self.deployment.engine_list(api.ListKind.CACHED)
+        self.running = dict.fromkeys(self.deployment.engine_names(), 0)
         for me in range(self.deployment.gateways):
             module = RoutingPolicy(self.deployment.settings(me), self.seed * 1000 + me, self.now)
             self.modules.append(module)
@@ -81,7 +81,7 @@
             self.at(self.now + self.pause(), partial(self.ask, me))
 
     def pause(self) -> int:
-        return int(self.random.expovariate(self.rate) * SECOND)
+        return int(self.random.expovariate(self.rate) * SECOND_US)
 
     def run(self, us: int, bench: Bench) -> None:
         end, done = self.now + us, 0
@@ -120,7 +120,7 @@
 
     def ask(self, me: int) -> None:
         self.asked += 1
-        work = self.deployment.work[0]
+        work = self.deployment.query_classes[0]
         give_up = self.now + work.deadline_us
         self.tell(
             me,
@@ -179,7 +179,7 @@
     play.run(SETTLE_US, bench)
     play.counts[:] = [Heard() for _ in play.counts]
     play.run(COUNT_US, bench)
-    seconds = COUNT_US / SECOND
+    seconds = COUNT_US / SECOND_US
     probes = sum(c.probes for c in play.counts)
     for quantity, unit, values in (
         ("memo_datagrams_per_s", "datagrams/s", [c.datagrams / seconds for c in play.counts]),
--- a/whintrail/scale/slopes_module.py
+++ b/whintrail/scale/slopes_module.py
@@ -21,7 +21,7 @@
 from whintrail.gateway.links import LinkPool
 from whintrail.gateway.log import Log
 from whintrail.routing import SWEEP_INTERVAL_US, SWEEP_TIMER, WEIGHT_REFRESH_INTERVAL_US, RoutingPolicy
-from whintrail.scale.deployment import SECOND, Deployment
+from whintrail.scale.deployment import SECOND_US, Deployment
 from whintrail.scale.results import Sample, sample
 from whintrail.scale.timing import Bench, cpu_us, held_bytes
 from whintrail.versions.engine_list import EngineListState
@@ -48,10 +48,10 @@
 
     def __init__(self, deployment: Deployment, keep: Keep = everything) -> None:
         self.deployment, self.keep = deployment, keep
-        self.now, self.asked, self.heard_at = deployment.started_ms * 1000 + 3_600 * SECOND, 0, 0
+        self.now, self.asked, self.heard_at = deployment.first_started_ms * 1000 + 3_600 * SECOND_US, 0, 0
         self.module = RoutingPolicy(deployment.settings(), 7, self.now)
         self.module.start()
-        self.listed(deployment.listed(api.ListKind.CACHED))
+        self.listed(deployment.engine_list(api.ListKind.CACHED))
         self.hear()
 
     def tell(self, event: api.Event) -> list[api.Action]:
@@ -71,7 +71,7 @@
     def ask(self) -> tuple[int, list[api.Action]]:
         """A query of one class or another, as often as it comes among others."""
         self.asked += 1
-        classes = [work for work in self.deployment.work for _ in range(work.parts)]
+        classes = [work for work in self.deployment.query_classes for _ in range(work.weight)]
         work = classes[self.asked * 7 % len(classes)]
         give_up = self.now + work.deadline_us
         arrived = api.QueryArrived(
@@ -183,13 +183,13 @@
     yield took("module_choose_us", choose, before=arrived, alone=True)
     yield took("module_ended_us", lambda: alone.end(*latest[-1]), before=arrived, alone=True)
 
-    states, one = ["leaving", "active"], deployment.names().index(min(alone.module.engines))
+    states, one = ["leaving", "active"], deployment.engine_names().index(min(alone.module.engines))
     entries = [
-        api.EngineListReceived(api.ListKind.DELTA, (deployment.entry(one, state),)) for state in states
+        api.EngineListReceived(api.ListKind.DELTA, (deployment.engine_entry(one, state),)) for state in states
     ]
     deltas = iter(range(1 << 60))
     yield took("module_list_delta_us", lambda: alone.listed(entries[next(deltas) % 2]))
-    whole = deployment.listed()
+    whole = deployment.engine_list()
     yield took("module_list_whole_us", lambda: alone.listed(whole), alone=True)
     told = [
         probe_reports.encode(
@@ -223,10 +223,10 @@
     def took(quantity: str, work: Callable[[], object], **more: Any) -> Sample:
         return sample(quantity, "us", sizes, cpu_us(work, repeats, bench, **more), "core")
 
-    line = deployment.whole_line()
+    line = deployment.full_list_line()
     yield sample("list_line_bytes", "bytes", sizes, [float(len(line))], "core")
     yield took("list_read_whole_us", lambda: read_list_update(orjson.loads(line), log, False), alone=True)
-    delta = deployment.line(2, [deployment.item(0, "leaving")], False)
+    delta = deployment.encode_line(2, [deployment.list_item(0, "leaving")], False)
     yield took("list_read_delta_us", lambda: read_list_update(orjson.loads(delta), log, False))
     yield from asyncio.run(_updates(deployment, repeats, bench, line, delta))
 
@@ -266,6 +266,6 @@
 
 def keys_shared(deployment: Deployment) -> Sample:
     """The share of engines whose 16 bits are another's too: nobody tells of them."""
-    told = probe_reports.engines_by_key(deployment.names())
+    told = probe_reports.engines_by_key(deployment.engine_names())
     share = 1 - len(told) / max(1, deployment.engines)
     return sample("memo_keys_shared", "share", (deployment.gateways, deployment.engines), [share], "core")
--- a/whintrail/scale/slopes_versions.py
+++ b/whintrail/scale/slopes_versions.py
@@ -36,7 +36,7 @@
     """A version's body with a hundredth of the engines shut, and what fetching it costs one gateway. Nothing
     where it is longer than a body may be."""
     sizes = deployment.gateways, deployment.engines
-    shut = tuple(deployment.names()[:: int(1 / SHUT)])
+    shut = tuple(deployment.engine_names()[:: int(1 / SHUT)])
     data = msgspec.msgpack.encode(
         canonicalize(Rules(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900}))
     )
--- a/whintrail/scale/ways.py
+++ b/whintrail/scale/ways.py
@@ -23,7 +23,7 @@
 from numpy.typing import NDArray
 
 from whintrail import interface as api
-from whintrail.scale.results import Sample, sample, save, this_machine
+from whintrail.scale.results import Sample, current_machine, sample, save_results
 from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
 
@@ -374,7 +374,7 @@
       whintrail scale ways                              all sizes, to docs/capacity/ways.json
       whintrail scale ways --most 200 --to /tmp/w.json  the smallest size alone
     """
-    began, machine, samples = time.time(), this_machine(), list[Sample]()
+    began, machine, samples = time.time(), current_machine(), list[Sample]()
     note = "a mean over gateways where one figure stands; one simulated fleet a size, five draws of traffic"
     for gateways, engines in SIZES:
         for name in WAYS if gateways <= most else ():
@@ -385,4 +385,6 @@
             samples += judge(name, gateways, engines, size)
         if gateways <= most:
             samples += cost(gateways, engines, size)
-    save(path, f"whintrail scale ways --size {size} --most {most}", began, machine, brief(samples), note)
+    save_results(
+        path, f"whintrail scale ways --size {size} --most {most}", began, machine, brief(samples), note
+    )
--- a/whintrail/standins/fleet.py
+++ b/whintrail/standins/engine_fleet.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 ROWS = b"2026-12-01\t42\tminutes of the council\n2026-12-02\t7\thearing\n"
-NOTE_S = 0.2
+PROGRESS_INTERVAL_S = 0.2
 
 
 @dataclass(slots=True)
@@ -32,12 +32,12 @@
     """One that was injected, for comparison with what the gateway made of it. Unix seconds."""
 
     engine: str
-    what: str
-    begin: float
-    end: float = 0.0
+    kind: str
+    started_at: float
+    ended_at: float = 0.0
 
 
-def requests(data: bytearray) -> Iterator[tuple[list[bytes], bytes]]:
+def parse_requests(data: bytearray) -> Iterator[tuple[list[bytes], bytes]]:
     """The whole requests at the start of the data, each taken from it: its words and the statement."""
     while (end := data.find(b"\r\n")) >= 0:
         words = bytes(data[:end]).split(b" ")
@@ -57,13 +57,13 @@
         self.random = random.Random(f"{seed}-{name}")
         self.started_ms = 0
         self.running: dict[tuple[int, bytes], asyncio.TimerHandle | None] = {}
-        self.held: list[tuple[socket.socket, bytes]] = []  # done, but stalled
+        self.held_answers: list[tuple[socket.socket, bytes]] = []  # done, but stalled
         self.sockets: set[socket.socket] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.taken = self.answered = 0
+        self.queries_received = self.queries_answered = 0
         self.listener = self._listen(0)
         self.port: int = self.listener.getsockname()[1]
-        self._accept()
+        self._start_accepting()
 
     @staticmethod
     def _listen(port: int) -> socket.socket:
@@ -74,12 +74,12 @@
         sock.setblocking(False)
         return sock
 
-    def _accept(self) -> None:
-        task = asyncio.get_running_loop().create_task(self._accepting(self.listener))
+    def _start_accepting(self) -> None:
+        task = asyncio.get_running_loop().create_task(self._accept_connections(self.listener))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _accepting(self, listener: socket.socket) -> None:
+    async def _accept_connections(self, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -89,7 +89,7 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.sockets.add(sock)
-            task = loop.create_task(self._serve(sock))
+            task = loop.create_task(self._serve_connection(sock))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
@@ -105,76 +105,84 @@
             "startedAtMs": self.started_ms,
         }
 
-    async def _serve(self, sock: socket.socket) -> None:
+    async def _serve_connection(self, sock: socket.socket) -> None:
         loop, data, chunk = asyncio.get_running_loop(), bytearray(), bytearray(65_536)
         try:
             while count := await loop.sock_recv_into(sock, chunk):
                 data += memoryview(chunk)[:count]
-                for words, body in requests(data):
-                    self._take(sock, words, body)
+                for words, body in parse_requests(data):
+                    self._handle_request(sock, words, body)
         except (OSError, ValueError):
             pass
         finally:
             self.sockets.discard(sock)
             number = sock.fileno()
             for key in [key for key in self.running if key[0] == number]:
-                self._forget(key)
+                self._cancel_query(key)
             sock.close()
 
-    def _take(self, sock: socket.socket, words: list[bytes], body: bytes) -> None:
+    def _handle_request(self, sock: socket.socket, words: list[bytes], body: bytes) -> None:
         match words[0]:
             case b"do":
-                self.taken += 1
+                self.queries_received += 1
                 # The statement may say what it costs: `... -- cost=MS`.
                 cost_ms = float(body.rpartition(b"cost=")[2] or 5) if b"cost=" in body else 5.0
                 crowd = max(1.0, (len(self.running) + 1) / self.cores)
                 took_s = cost_ms / 1000 * crowd * self.faults.slower * self.random.lognormvariate(-0.1, 0.4)
                 key = (sock.fileno(), words[1])
                 later = asyncio.get_running_loop().call_later
-                self.running[key] = later(took_s, self._done, sock, key)
-                if took_s > NOTE_S:
-                    later(NOTE_S, self._note, sock, key, took_s, NOTE_S)
+                self.running[key] = later(took_s, self._finish_query, sock, key)
+                if took_s > PROGRESS_INTERVAL_S:
+                    later(PROGRESS_INTERVAL_S, self._report_progress, sock, key, took_s, PROGRESS_INTERVAL_S)
             case b"undo":
-                self._forget((sock.fileno(), words[1]))
+                self._cancel_query((sock.fileno(), words[1]))
             case b"ping" | b"top":
                 stats = b"stats=busy_reqs:%d;pending:0;x0:0.1" % len(self.running)
-                self._say(sock, words[1], b"green", stats if words[0] == b"top" else b"-")
+                self._send_reply(sock, words[1], b"green", stats if words[0] == b"top" else b"-")
 
-    def _forget(self, key: tuple[int, bytes]) -> None:
+    def _cancel_query(self, key: tuple[int, bytes]) -> None:
         timer = self.running.pop(key, None)
         if timer is not None:
             timer.cancel()
 
-    def _note(self, sock: socket.socket, key: tuple[int, bytes], took_s: float, passed_s: float) -> None:
+    def _report_progress(
+        self, sock: socket.socket, key: tuple[int, bytes], took_s: float, passed_s: float
+    ) -> None:
         if key in self.running and not self.faults.stalled and passed_s < took_s:
-            self._say(sock, key[1], b"update", b"how=done,datum=%.3f" % (passed_s / took_s))
-            asyncio.get_running_loop().call_later(NOTE_S, self._note, sock, key, took_s, passed_s + NOTE_S)
+            self._send_reply(sock, key[1], b"update", b"how=done,datum=%.3f" % (passed_s / took_s))
+            asyncio.get_running_loop().call_later(
+                PROGRESS_INTERVAL_S, self._report_progress, sock, key, took_s, passed_s + PROGRESS_INTERVAL_S
+            )
 
-    def _done(self, sock: socket.socket, key: tuple[int, bytes]) -> None:
+    def _finish_query(self, sock: socket.socket, key: tuple[int, bytes]) -> None:
         if key not in self.running:
             return
         if self.faults.stalled:
             self.running[key] = None  # it goes on holding what it was sent
-            self.held.append((sock, key[1]))
+            self.held_answers.append((sock, key[1]))
             return
         del self.running[key]
-        self.answered += 1
+        self.queries_answered += 1
         if self.random.random() < self.faults.failing:
-            self._say(sock, key[1], b"crashed", b"-")
+            self._send_reply(sock, key[1], b"crashed", b"-")
         else:
-            self._say(sock, key[1], b"served", b"total=1,elapsed=5.0,rss=8", ROWS)
+            self._send_reply(sock, key[1], b"served", b"total=1,elapsed=5.0,rss=8", ROWS)
 
-    def thaw(self) -> None:
+    def end_stall(self) -> None:
         """The end of a stall: what it still holds is answered, within a little while."""
         self.faults.stalled = False
-        for sock, id in self.held:
+        for sock, id in self.held_answers:
             key = (sock.fileno(), id)
             if key in self.running:
                 delay = self.random.uniform(0.0, 0.1)
-                self.running[key] = asyncio.get_running_loop().call_later(delay, self._done, sock, key)
-        self.held.clear()
-
-    def _say(self, sock: socket.socket, id: bytes, word: bytes, fields: bytes, body: bytes = b"") -> None:
+                self.running[key] = asyncio.get_running_loop().call_later(
+                    delay, self._finish_query, sock, key
+                )
+        self.held_answers.clear()
+
+    def _send_reply(
+        self, sock: socket.socket, id: bytes, word: bytes, fields: bytes, body: bytes = b""
+    ) -> None:
         data = b"%b %b %b %d\r\n%b\r\n" % (id, word, fields, len(body), body)
         try:
             sent = sock.send(data)
@@ -186,24 +194,24 @@
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """As a process that is killed: connections reset, new ones refused."""
         self.listener.close()
         for sock in list(self.sockets):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
         for key in list(self.running):
-            self._forget(key)
-        self.held.clear()
+            self._cancel_query(key)
+        self.held_answers.clear()
 
     def restart(self) -> None:
         self.listener = self._listen(self.port)
         self.started_ms = int(time() * 1000)
         self.faults = Faults()
-        self._accept()
+        self._start_accepting()
 
     async def close(self) -> None:
-        self.die()
+        self.crash()
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
@@ -222,9 +230,9 @@
     def start(self) -> None:
         self.listener = FleetEngine._listen(0)
         self.port = self.listener.getsockname()[1]
-        self._keep(self._accepting(self.listener))
+        self._start_task(self._accept_connections(self.listener))
 
-    def _keep(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -234,13 +242,13 @@
         roster = {"generation": number, "reset": reset, "instances": list(entries)}
         self.events.append({"no": number, "roster": roster})
 
-    async def _accepting(self, listener: socket.socket) -> None:
+    async def _accept_connections(self, listener: socket.socket) -> None:
         while True:
             sock, _ = await asyncio.get_running_loop().sock_accept(listener)
             sock.setblocking(False)
-            self._keep(self._tell(sock))
+            self._start_task(self._serve_watch(sock))
 
-    async def _tell(self, sock: socket.socket) -> None:
+    async def _serve_watch(self, sock: socket.socket) -> None:
         loop, chunk = asyncio.get_running_loop(), bytearray(64)
         with suppress(OSError, ValueError):
             count = await loop.sock_recv_into(sock, chunk)
@@ -265,7 +273,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-class Fleet:
+class EngineFleet:
     """Engines and their bulletin, and a log of the faults injected."""
 
     def __init__(self, count: int, cores: float = 16.0, seed: int = 1) -> None:
@@ -273,23 +281,23 @@
         self.bulletin = FleetBulletin()
         self.bulletin.start()
         self.bulletin.publish(*(engine.entry() for engine in self.engines), reset=True)
-        self.log: list[Fault] = []
+        self.fault_log: list[Fault] = []
 
-    def begin(self, index: int, what: str, value: float = 1.0) -> Fault:
+    def inject_fault(self, index: int, kind: str, value: float = 1.0) -> Fault:
         """Inject `stalled`, `slower` (times) or `failing` (share)."""
         engine = self.engines[index]
-        setattr(engine.faults, what, True if what == "stalled" else value)
-        fault = Fault(engine.name, what, time())
-        self.log.append(fault)
+        setattr(engine.faults, kind, True if kind == "stalled" else value)
+        fault = Fault(engine.name, kind, time())
+        self.fault_log.append(fault)
         return fault
 
-    def end(self, fault: Fault) -> None:
+    def clear_fault(self, fault: Fault) -> None:
         engine = next(engine for engine in self.engines if engine.name == fault.engine)
-        if fault.what == "stalled":
-            engine.thaw()
+        if fault.kind == "stalled":
+            engine.end_stall()
         else:
-            setattr(engine.faults, fault.what, 1.0 if fault.what == "slower" else 0.0)
-        fault.end = time()
+            setattr(engine.faults, fault.kind, 1.0 if fault.kind == "slower" else 0.0)
+        fault.ended_at = time()
 
     def config(self, listen: str, name: str = "n0", sockets: int = 1024) -> dict[str, object]:
         """A configuration for a gateway in front of this fleet."""
--- a/whintrail/standins/simulated.py
+++ b/whintrail/standins/fleet_simulation.py
@@ -20,7 +20,7 @@
 Fault = Callable[[int, int, Random], list[float]]
 
 
-def sound(origin: int, target: int, random: Random) -> list[float]:
+def deliver_once(origin: int, target: int, random: Random) -> list[float]:
     return [0.0]
 
 
@@ -30,62 +30,62 @@
 
     number: int
     boot_id: int
-    began: int  # by the world's clock, as all below
+    started_at: int  # by the world's clock, as all below
     offset: int
     drift: float
     build: str
     engines: dict[str, EngineAvailability]
-    busy: Callable[[int, str], int]
-    bad: Callable[[str], tuple[float, float, float]]
-    rate: float
+    open_attempts_at: Callable[[int, str], int]
+    failure_shares_of: Callable[[str], tuple[float, float, float]]
+    queries_per_s: float
     random: Random
     peers: int = 0
     node: FleetNode | None = None
-    stopped_until: int = 0
-    mail: list[tuple[int, bytes]] = field(default_factory=list)  # that came while it stood still
-    at: int = 0
-    tally: list[int] = field(default_factory=lambda: [0, 0, 0, 0])
+    paused_until: int = 0
+    delayed_datagrams: list[tuple[int, bytes]] = field(default_factory=list)  # that came while it stood still
+    current_us: int = 0
+    outcome_tally: list[int] = field(default_factory=lambda: [0, 0, 0, 0])
     counted_at: int = 0
-    turn: Callable[[], None] = lambda: None  # its next tick, made once
+    next_tick: Callable[[], None] = lambda: None  # its next tick, made once
 
     def clock(self, now: int) -> int:
-        return self.offset + int((now - self.began) * (1 + self.drift))
+        return self.offset + int((now - self.started_at) * (1 + self.drift))
 
     def serving_ms(self, now: int) -> int:
         return max(1, (now - self.offset) // 1000)
 
-    def held_by(self, engine: str) -> int:
-        return self.busy(self.number, engine)
+    def open_attempts(self, engine: str) -> int:
+        return self.open_attempts_at(self.number, engine)
 
-    def counts(self) -> tuple[tuple[int, int, int, int], ...]:
-        taken = int((self.at - self.counted_at) / 1e6 * self.rate)
+    def outcome_counts(self) -> tuple[tuple[int, int, int, int], ...]:
+        taken = int((self.current_us - self.counted_at) / 1e6 * self.queries_per_s)
         if taken:
-            self.counted_at = self.at
-            shares = self.bad(self.build)
+            self.counted_at = self.current_us
+            shares = self.failure_shares_of(self.build)
             bad = [sum(self.random.random() < share for _ in range(taken)) for share in shares]
             for place, more in enumerate((taken, *bad)):
-                self.tally[place] += more
-        return ((self.tally[0], self.tally[1], self.tally[2], self.tally[3]),)
+                self.outcome_tally[place] += more
+        return ((self.outcome_tally[0], self.outcome_tally[1], self.outcome_tally[2], self.outcome_tally[3]),)
 
     # The node calls it by this name.
-    def engines_(self) -> dict[str, EngineAvailability]:
+    def engine_availability(self) -> dict[str, EngineAvailability]:
         return self.engines
 
 
-class _Local:
+class LocalState:
     def __init__(self, process: Process) -> None:
         self.process = process
-        self.serving_ms, self.open_attempts = process.serving_ms, process.held_by
-        self.outcome_counts, self.engines = process.counts, process.engines_
+        self.serving_ms, self.open_attempts = process.serving_ms, process.open_attempts
+        self.outcome_counts, self.engines = process.outcome_counts, process.engine_availability
 
     def check_body(self, body: Rules) -> str:
         return find_unsupported(body, frozenset({"lookup", "report"}), self.process.peers)
 
 
-class World:
+class FleetSimulation:
     def __init__(
         self,
-        given: Callable[[int, str], FleetConfig],
+        config_for: Callable[[int, str], FleetConfig],
         count: int,
         seed: int,
         engines: dict[str, EngineAvailability] | None = None,
@@ -93,31 +93,34 @@
         tick_us: int = TICK_US,
     ) -> None:
         """`given`: the settings of a gateway on a build; all start with build `old`."""
-        self.given, self.count, self.random = given, count, Random(seed)
+        self.config_for, self.count, self.random = config_for, count, Random(seed)
         self.engines = engines or {}
-        self.fault: Fault = sound
+        self.fault: Fault = deliver_once
         self.drift, self.tick_us = drift, tick_us
         self.now = 0
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.numbered = 0
-        self.busy: dict[tuple[int, str], int] = {}
-        self.bad: dict[str, tuple[float, float, float]] = {}
-        self.rate = 5.0
+        self.events_scheduled = 0
+        self.open_attempts: dict[tuple[int, str], int] = {}
+        self.failure_shares: dict[str, tuple[float, float, float]] = {}
+        self.queries_per_s = 5.0
         self.processes: list[Process | None] = [None] * count
-        self.lines: list[tuple[int, int, str, dict[str, object]]] = []
+        self.log_lines: list[tuple[int, int, str, dict[str, object]]] = []
         self.sent, self.sent_bytes = Counter[int](), Counter[int]()  # one for all of the fleet counts as one
-        self.copies, self.copied_bytes = [0] * count, [0] * count  # counts once for each that it is sent to
-        self.heard, self.heard_bytes = [0] * count, [0] * count
+        self.sent_copies, self.sent_copy_bytes = (
+            [0] * count,
+            [0] * count,
+        )  # counts once for each that it is sent to
+        self.received, self.received_bytes = [0] * count, [0] * count
         for number in range(count):
             self.start(number, "old")
 
     # --- Time.
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        self.numbered += 1
-        heappush(self.queue, (when, self.numbered, what))
+    def schedule(self, time_us: int, callback: Callable[[], None]) -> None:
+        self.events_scheduled += 1
+        heappush(self.queue, (time_us, self.events_scheduled, callback))
 
-    def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
+    def run(self, seconds: float, condition: Callable[[], bool] | None = None) -> bool:
         """Go on for so long, or until something holds: whether it does."""
         end = self.now + int(seconds * 1e6)
         # What is waited for often looks at all of the fleet, and its size has as many more events.
@@ -127,10 +130,10 @@
             self.now = max(self.now, when)
             what()
             check += 1
-            if until is not None and check % every == 0 and until():
+            if condition is not None and check % every == 0 and condition():
                 return True
         self.now = end
-        return until() if until is not None else True
+        return condition() if condition is not None else True
 
     # --- Processes.
 
@@ -144,28 +147,28 @@
             self.random.uniform(-self.drift, self.drift),
             build,
             self.engines,
-            lambda n, engine: self.busy.get((n, engine), 0),
-            lambda b: self.bad.get(b, (0.0, 0.0, 0.0)),
-            self.rate,
+            lambda n, engine: self.open_attempts.get((n, engine), 0),
+            lambda b: self.failure_shares.get(b, (0.0, 0.0, 0.0)),
+            self.queries_per_s,
             Random(self.random.getrandbits(32)),
         )
         process.peers = self.count
         process.node = FleetNode(
-            self.given(number, build),
+            self.config_for(number, build),
             process.boot_id,
             1_000_000 + self.now // 1_000_000,
             process.clock(self.now),
             Random(self.random.getrandbits(32)),
-            _Local(process),
+            LocalState(process),
             lambda: self.now // 1000,
-            lambda what, more: self.lines.append((self.now, number, what, more)),
+            lambda what, more: self.log_lines.append((self.now, number, what, more)),
         )
         self.processes[number] = process
-        process.turn = partial(self._tick, process)
-        self.at(self.now + self.random.randrange(self.tick_us), process.turn)
+        process.next_tick = partial(self._tick, process)
+        self.schedule(self.now + self.random.randrange(self.tick_us), process.next_tick)
         return process
 
-    def acquaint(self) -> None:
+    def assume_all_known(self) -> None:
         """All know one another from now on, as in a fleet that has long been up; each tells of itself yet."""
         nodes = [
             process.node for process in self.processes if process is not None and process.node is not None
@@ -177,24 +180,24 @@
     def kill(self, number: int) -> None:
         self.processes[number] = None
 
-    def stop(self, number: int, seconds: float) -> None:
+    def pause(self, number: int, seconds: float) -> None:
         """Stands still, as under SIGSTOP; what comes waits."""
         process = self.processes[number]
         if process is not None:
-            process.stopped_until = self.now + int(seconds * 1e6)
+            process.paused_until = self.now + int(seconds * 1e6)
 
     def node(self, number: int) -> FleetNode:
         process = self.processes[number]
         assert process is not None and process.node is not None
         return process.node
 
-    def up(self) -> list[int]:
+    def running_numbers(self) -> list[int]:
         return [p.number for p in self.processes if p is not None]
 
     def leader(self) -> int | None:
         """Who leads in the newest epoch and term."""
         found = []
-        for number in self.up():
+        for number in self.running_numbers():
             council = self.node(number).consensus
             if council is not None and self.node(number).is_leader:
                 found.append((council.epoch, council.term, number))
@@ -202,7 +205,7 @@
 
     def state(self) -> FleetState:
         """The furthest that anybody knows."""
-        return max((self.node(n).replica for n in self.up()), key=lambda r: r.position).state
+        return max((self.node(n).replica for n in self.running_numbers()), key=lambda r: r.position).state
 
     def clock(self, number: int) -> int:
         process = self.processes[number]
@@ -214,19 +217,19 @@
     def _tick(self, process: Process) -> None:
         if self.processes[process.number] is not process or process.node is None:
             return
-        if self.now < process.stopped_until:
-            self.at(process.stopped_until, process.turn)
+        if self.now < process.paused_until:
+            self.schedule(process.paused_until, process.next_tick)
             return
         node = process.node
-        process.at = self.now
+        process.current_us = self.now
         clock = process.clock(self.now)
-        if process.mail:
-            mail, process.mail = process.mail, []
+        if process.delayed_datagrams:
+            mail, process.delayed_datagrams = process.delayed_datagrams, []
             for origin, data in mail:
                 node.receive(clock, origin, data)
         node.tick(clock)
         self.flush(process)
-        self.at(self.now + self.tick_us, process.turn)
+        self.schedule(self.now + self.tick_us, process.next_tick)
 
     def flush(self, process: Process) -> None:
         assert process.node is not None
@@ -235,22 +238,22 @@
             self.sent[origin] += 1
             self.sent_bytes[origin] += len(data)
             targets = [n for n in range(self.count) if n != origin] if target is None else (target,)
-            self.copies[origin] += len(targets)
-            self.copied_bytes[origin] += len(targets) * len(data)
+            self.sent_copies[origin] += len(targets)
+            self.sent_copy_bytes[origin] += len(targets) * len(data)
             for each in targets:
                 for delay in self.fault(origin, each, self.random):
                     after = int(delay * 1e6) + 200 + self.random.randrange(1000)
-                    self.at(self.now + after, partial(self._deliver, origin, each, data))
+                    self.schedule(self.now + after, partial(self._deliver, origin, each, data))
 
     def _deliver(self, origin: int, target: int, data: bytes) -> None:
         process = self.processes[target]
         if process is None or process.node is None:
             return
-        if self.now < process.stopped_until:
-            process.mail.append((origin, data))
+        if self.now < process.paused_until:
+            process.delayed_datagrams.append((origin, data))
             return
-        self.heard[target] += 1
-        self.heard_bytes[target] += len(data)
-        process.at = self.now
+        self.received[target] += 1
+        self.received_bytes[target] += len(data)
+        process.current_us = self.now
         process.node.receive(process.clock(self.now), origin, data)
         self.flush(process)
--- a/whintrail/standins/peers.py
+++ b/whintrail/standins/gateway_fleet.py
@@ -20,35 +20,35 @@
 
 from whintrail.standins.scripted import Bulletin, Client, Engine, Gateway, listener, settings, wait_for
 
-Operator = Callable[[int, str], dict[str, Any]]
+OperatorFile = Callable[[int, str], dict[str, Any]]
 Fault = Callable[[int, int, Random], list[float]]  # from, to: after how many seconds each copy arrives
 
 
-def sound(origin: int, target: int, random: Random) -> list[float]:
+def deliver_once(origin: int, target: int, random: Random) -> list[float]:
     return [0.0]
 
 
-def lossy(share: float, most_s: float = 0.0, doubled: float = 0.0) -> Fault:
+def lossy(loss_share: float, max_delay_s: float = 0.0, duplicate_share: float = 0.0) -> Fault:
     """So many are lost, others doubled, and each copy takes up to so long: they overtake one another."""
 
     def fault(origin: int, target: int, random: Random) -> list[float]:
-        if random.random() < share:
+        if random.random() < loss_share:
             return []
-        return [random.random() * most_s for _ in range(1 + (random.random() < doubled))]
+        return [random.random() * max_delay_s for _ in range(1 + (random.random() < duplicate_share))]
 
     return fault
 
 
-def split(*parts: set[int]) -> Fault:
+def partition(*groups: set[int]) -> Fault:
     """Only within a part do they hear one another."""
 
     def fault(origin: int, target: int, random: Random) -> list[float]:
-        return [0.0] if any(origin in part and target in part for part in parts) else []
+        return [0.0] if any(origin in part and target in part for part in groups) else []
 
     return fault
 
 
-def datagrams() -> socket.socket:
+def datagram_socket() -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.setblocking(False)
@@ -60,60 +60,64 @@
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.random = Random(seed)
-        self.fault: Fault = sound
-        self.fronts = [datagrams() for _ in range(count)]  # as what the others see the gateway
-        self.everyone = datagrams()
-        self.homes: list[tuple[str, int]] = []  # where the gateways really listen
+        self.fault: Fault = deliver_once
+        self.front_sockets = [datagram_socket() for _ in range(count)]  # as what the others see the gateway
+        self.broadcast_socket = datagram_socket()
+        self.gateway_addresses: list[tuple[str, int]] = []  # where the gateways really listen
         for _ in range(count):
-            with datagrams() as free:
-                self.homes.append(free.getsockname())
-        self.passed: Counter[tuple[int, int]] = Counter()
-        self.bytes = 0
-        self.waiting: list[tuple[float, int, int, int, bytes]] = []
-        self.numbered, self.ended = 0, threading.Event()
+            with datagram_socket() as free:
+                self.gateway_addresses.append(free.getsockname())
+        self.delivered: Counter[tuple[int, int]] = Counter()
+        self.delivered_bytes = 0
+        self.queue: list[tuple[float, int, int, int, bytes]] = []
+        self.copies_scheduled, self.stop_event = 0, threading.Event()
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     @staticmethod
-    def where(sock: socket.socket) -> str:
+    def address_of(sock: socket.socket) -> str:
         host, port = sock.getsockname()
         return f"{host}:{port}"
 
     def _run(self) -> None:
         with selectors.DefaultSelector() as selector:
-            for target, sock in enumerate(self.fronts):
+            for target, sock in enumerate(self.front_sockets):
                 selector.register(sock, selectors.EVENT_READ, target)
-            selector.register(self.everyone, selectors.EVENT_READ, None)
-            while not self.ended.is_set():
-                for key, _ in selector.select(0.002 if self.waiting else 0.02):
+            selector.register(self.broadcast_socket, selectors.EVENT_READ, None)
+            while not self.stop_event.is_set():
+                for key, _ in selector.select(0.002 if self.queue else 0.02):
                     with suppress(BlockingIOError, ConnectionRefusedError):
                         data, home = key.fileobj.recvfrom(2048)  # type: ignore[union-attr]
-                        if home in self.homes:
-                            self._take(self.homes.index(home), key.data, data)
-                while self.waiting and self.waiting[0][0] <= time.monotonic():
-                    self._deliver(*heapq.heappop(self.waiting)[2:])
-
-    def _take(self, origin: int, target: int | None, data: bytes) -> None:
-        targets = [n for n in range(len(self.homes)) if n != origin] if target is None else [target]
+                        if home in self.gateway_addresses:
+                            self._schedule(self.gateway_addresses.index(home), key.data, data)
+                while self.queue and self.queue[0][0] <= time.monotonic():
+                    self._deliver(*heapq.heappop(self.queue)[2:])
+
+    def _schedule(self, origin: int, target: int | None, data: bytes) -> None:
+        targets = (
+            [n for n in range(len(self.gateway_addresses)) if n != origin] if target is None else [target]
+        )
         for each in targets:
             for delay in self.fault(origin, each, self.random):
-                self.numbered += 1
-                heapq.heappush(self.waiting, (time.monotonic() + delay, self.numbered, origin, each, data))
+                self.copies_scheduled += 1
+                heapq.heappush(
+                    self.queue, (time.monotonic() + delay, self.copies_scheduled, origin, each, data)
+                )
 
     def _deliver(self, origin: int, target: int, data: bytes) -> None:
         with suppress(OSError):  # it may be down
-            self.fronts[origin].sendto(data, self.homes[target])
-            self.passed[origin, target] += 1
-            self.bytes += len(data)
+            self.front_sockets[origin].sendto(data, self.gateway_addresses[target])
+            self.delivered[origin, target] += 1
+            self.delivered_bytes += len(data)
 
     def close(self) -> None:
-        self.ended.set()
+        self.stop_event.set()
         self.thread.join(5)
-        for sock in (*self.fronts, self.everyone):
+        for sock in (*self.front_sockets, self.broadcast_socket):
             sock.close()
 
 
-class Fleet:
+class GatewayFleet:
     """Gateways of the program with their engines, their bulletin and the relay between them."""
 
     def __init__(
@@ -121,7 +125,7 @@
         folder: Path,
         count: int,
         engines: list[Engine],
-        operator: Operator | None = None,
+        operator: OperatorFile | None = None,
         zones: int = 1,
         **limits: Any,
     ) -> None:
@@ -130,19 +134,21 @@
         self.engines, self.bulletin, self.relay = engines, Bulletin(), Relay(count)
         self.bulletin.publish(*(engine.entry() for engine in engines), reset=True)
         self.folder, self.limits = folder, limits
-        self.own: dict[int, Bulletin] = {}  # of gateways that follow another than the rest, once started anew
+        self.bulletin_overrides: dict[
+            int, Bulletin
+        ] = {}  # of gateways that follow another than the rest, once started anew
         self.ports: list[int] = []
         for _ in range(count):
             with listener() as free:
                 self.ports.append(free.getsockname()[1])
         self.gateways = [self.start(number) for number in range(count)]
         for number in range(count):
-            wait_for(lambda number=number: self.ready(number))  # type: ignore[misc]
+            wait_for(lambda number=number: self.is_ready(number))  # type: ignore[misc]
 
     def start(self, number: int, build: str = "") -> Gateway:
         """A gateway from nothing, under its old name and addresses."""
-        home, relay = self.relay.homes[number], self.relay
-        bulletin = self.own.get(number, self.bulletin)
+        home, relay = self.relay.gateway_addresses[number], self.relay
+        bulletin = self.bulletin_overrides.get(number, self.bulletin)
         given = settings(MayTell=True, **self.limits)
         config = {
             "name": f"n{number}",
@@ -150,9 +156,9 @@
             "seed": f"{number + 1:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "peer_listen": f"{home[0]}:{home[1]}",
-            "peers": [relay.where(sock) for sock in relay.fronts],
-            "peers_all": relay.where(relay.everyone),
-            "bulletin": bulletin.where,
+            "peers": [relay.address_of(sock) for sock in relay.front_sockets],
+            "peers_all": relay.address_of(relay.broadcast_socket),
+            "bulletin": bulletin.address,
             "known": {"no": len(bulletin.events), "items": list(bulletin.events)},
             "settings": {
                 **given,
@@ -171,8 +177,8 @@
             environment["WHINTRAIL_FILE"] = str(file)
         return Gateway(config, folder, **environment)
 
-    def ready(self, number: int) -> bool:
-        assert self.gateways[number].process.poll() is None, self.gateways[number].text()
+    def is_ready(self, number: int) -> bool:
+        assert self.gateways[number].process.poll() is None, self.gateways[number].log_text()
         try:
             client = Client(self.ports[number])
         except OSError:
@@ -184,19 +190,19 @@
     def client(self, number: int) -> Client:
         return Client(self.ports[number])
 
-    def end(self) -> None:
+    def close(self) -> None:
         for gateway in self.gateways:
-            gateway.end()
+            gateway.kill()
         self.relay.close()
-        for server in (self.bulletin, *self.own.values(), *self.engines):
+        for server in (self.bulletin, *self.bulletin_overrides.values(), *self.engines):
             server.close()
 
 
 @contextmanager
-def fleet(count: int, *engines: Engine, **more: Any) -> Iterator[Fleet]:
+def fleet(count: int, *engines: Engine, **more: Any) -> Iterator[GatewayFleet]:
     with tempfile.TemporaryDirectory() as folder:
-        given = Fleet(Path(folder), count, list(engines) or [Engine()], **more)
+        given = GatewayFleet(Path(folder), count, list(engines) or [Engine()], **more)
         try:
             yield given
         finally:
-            given.end()
+            given.close()
--- a/whintrail/standins/load.py
+++ b/whintrail/standins/load_generator.py
@@ -8,7 +8,7 @@
 from time import perf_counter
 
 
-def startup() -> bytes:
+def startup_message() -> bytes:
     body = struct.pack("!I", 3 << 16) + b"user\0app\0database\0dw\0\0"
     return struct.pack("!I", len(body) + 4) + body
 
@@ -26,10 +26,10 @@
         self.sock = socket.socket()
         self.sock.setblocking(False)
         await loop.sock_connect(self.sock, ("127.0.0.1", self.port))
-        await loop.sock_sendall(self.sock, startup())
-        await self._until_ready()
+        await loop.sock_sendall(self.sock, startup_message())
+        await self._read_until_ready()
 
-    async def _until_ready(self) -> bytes:
+    async def _read_until_ready(self) -> bytes:
         """All messages up to ReadyForQuery."""
         loop, data = asyncio.get_running_loop(), bytearray()
         assert self.sock is not None
@@ -41,7 +41,7 @@
             if data[-6:-1] == b"Z\0\0\0\5":
                 return bytes(data)
 
-    async def ask(self, text: str) -> str:
+    async def run_query(self, text: str) -> str:
         """`served`, or the SQLSTATE."""
         loop = asyncio.get_running_loop()
         if self.sock is None:
@@ -49,7 +49,7 @@
         assert self.sock is not None
         body = text.encode() + b"\0"
         await loop.sock_sendall(self.sock, b"Q" + struct.pack("!I", len(body) + 4) + body)
-        data = await self._until_ready()
+        data = await self._read_until_ready()
         if (at := data.find(b"SERROR\0")) >= 0:
             at = data.index(b"C", at + 7)
             return data[at + 1 : at + 6].decode()
@@ -61,17 +61,17 @@
             self.sock = None
 
 
-class Load:
+class LoadGenerator:
     """Open-loop arrivals at `rate` a second (Poisson); `mix` holds (class, cost in ms, weight)."""
 
     def __init__(self, port: int, rate: float, mix: list[tuple[str, float, float]], seed: int = 1) -> None:
         self.port, self.rate, self.mix = port, rate, mix
         self.random = Random(seed)
-        self.free: list[LoadClient] = []
-        self.ends: Counter[str] = Counter()
-        self.latencies: list[float] = []
-        self.asked = 0
-        self.open: set[asyncio.Task[None]] = set()
+        self.idle_clients: list[LoadClient] = []
+        self.outcomes: Counter[str] = Counter()
+        self.latencies_s: list[float] = []
+        self.queries_sent = 0
+        self.pending_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float, ttl_ms: int = 6000) -> None:
         start = due = perf_counter()
@@ -79,40 +79,40 @@
             due += self.random.expovariate(self.rate)
             if (wait := due - perf_counter()) > 0.0005:
                 await asyncio.sleep(wait)
-            task = asyncio.get_running_loop().create_task(self._ask(ttl_ms))
-            self.open.add(task)
-            task.add_done_callback(self.open.discard)
-        if self.open:
-            await asyncio.wait(self.open, timeout=ttl_ms / 1000 + 1)
+            task = asyncio.get_running_loop().create_task(self._send_query(ttl_ms))
+            self.pending_tasks.add(task)
+            task.add_done_callback(self.pending_tasks.discard)
+        if self.pending_tasks:
+            await asyncio.wait(self.pending_tasks, timeout=ttl_ms / 1000 + 1)
 
-    async def _ask(self, ttl_ms: int) -> None:
+    async def _send_query(self, ttl_ms: int) -> None:
         name, cost, _ = self.random.choices(self.mix, [weight for *_, weight in self.mix])[0]
-        self.asked += 1
+        self.queries_sent += 1
         call = f"{self.random.getrandbits(64):016x}"
-        client = self.free.pop() if self.free else LoadClient(self.port)
+        client = self.idle_clients.pop() if self.idle_clients else LoadClient(self.port)
         started = perf_counter()
         try:
-            end = await client.ask(
+            end = await client.run_query(
                 f"/* op={name},call={call},ttl={ttl_ms},work={cost:.1f},memory=8 */"
                 f" SELECT 1 FROM sales_{self.random.randrange(50)}.t -- cost={cost}"
             )
-            self.free.append(client)
+            self.idle_clients.append(client)
         except OSError:
             client.close()
             end = "lost"
-        self.ends[end] += 1
+        self.outcomes[end] += 1
         if end == "served":
-            self.latencies.append(perf_counter() - started)
+            self.latencies_s.append(perf_counter() - started)
 
     def close(self) -> None:
-        for client in self.free:
+        for client in self.idle_clients:
             client.close()
-        self.free.clear()
+        self.idle_clients.clear()
 
 
-async def until_serves(port: int, tries: int = 200) -> bool:
+async def wait_until_serving(port: int, max_tries: int = 200) -> bool:
     """Connect until the gateway answers a start-up; False if it never does."""
-    for _ in range(tries):
+    for _ in range(max_tries):
         client = LoadClient(port)
         try:
             await client.open()
--- a/whintrail/standins/once.py
+++ b/whintrail/standins/once_audit.py
@@ -22,13 +22,13 @@
 from time import monotonic
 from typing import Any
 
-from whintrail.standins.fleet import ROWS, FleetBulletin, FleetEngine
-from whintrail.standins.load import startup
+from whintrail.standins.engine_fleet import ROWS, FleetBulletin, FleetEngine
+from whintrail.standins.load_generator import startup_message
 from whintrail.standins.scripted import Gateway, configuration, listener
 
-WINDOW_S, CROSSING_S, GONE_S = 0.6, 0.05, 0.1
+DEDUPLICATION_WINDOW_S, CROSSING_CLOSE_S, DEPARTURE_GRACE_S = 0.6, 0.05, 0.1
 # What a request meets, with weights; only the first two have not run.
-MEETS = {
+RESPONSE_WEIGHTS = {
     "overload": 3,
     "nobody": 1,
     "served": 12,
@@ -46,83 +46,89 @@
 
 
 @dataclass(slots=True)
-class Audit:
+class OnceAudit:
     """What engines got whole, by the work that a client wanted done."""
 
-    began: dict[int, list[float]] = field(default_factory=dict)  # of once-only work, where it may have run
-    calls: dict[bytes, list[float]] = field(default_factory=dict)  # of keyed queries, by id
-    left: dict[int, float] = field(default_factory=dict)  # when the client of a work closed or cancelled
-    twice: list[int] = field(default_factory=list)
+    once_starts: dict[int, list[float]] = field(
+        default_factory=dict
+    )  # of once-only work, where it may have run
+    keyed_starts: dict[bytes, list[float]] = field(default_factory=dict)  # of keyed queries, by id
+    departed_at: dict[int, float] = field(
+        default_factory=dict
+    )  # when the client of a work closed or cancelled
+    duplicates: list[int] = field(default_factory=list)
     late_repeats: list[bytes] = field(default_factory=list)
-    after_left: list[float] = field(default_factory=list)  # how long after its client had gone one began
-    ends: Counter[str] = field(default_factory=Counter)
+    starts_after_departure: list[float] = field(
+        default_factory=list
+    )  # how long after its client had gone one began
+    outcomes: Counter[str] = field(default_factory=Counter)
 
-    def came(self, kind: bytes, work: int, call: bytes, ran: bool) -> None:
+    def record_request(self, kind: bytes, work_id: int, call: bytes, may_have_run: bool) -> None:
         now = monotonic()
-        if (gone := self.left.get(work)) is not None and now - gone > GONE_S:
-            self.after_left.append(now - gone)
+        if (gone := self.departed_at.get(work_id)) is not None and now - gone > DEPARTURE_GRACE_S:
+            self.starts_after_departure.append(now - gone)
         if kind == b"once":
-            before = self.began.get(work)
+            before = self.once_starts.get(work_id)
             if before:
-                self.twice.append(work)
-            if ran:
-                self.began.setdefault(work, []).append(now)
+                self.duplicates.append(work_id)
+            if may_have_run:
+                self.once_starts.setdefault(work_id, []).append(now)
         elif kind == b"keyed":
-            times = self.calls.setdefault(call, [])
-            if times and now - times[0] > WINDOW_S:
+            times = self.keyed_starts.setdefault(call, [])
+            if times and now - times[0] > DEDUPLICATION_WINDOW_S:
                 self.late_repeats.append(call)
-            if ran:
+            if may_have_run:
                 times.append(now)
 
 
 class AuditedEngine(FleetEngine):
     """Takes what comes, tells the audit, and then does what the seed says."""
 
-    def __init__(self, name: str, seed: int, audit: Audit) -> None:
+    def __init__(self, name: str, seed: int, audit: OnceAudit) -> None:
         super().__init__(name, 16.0, seed)
         self.audit = audit
 
-    def _take(self, sock: socket.socket, words: list[bytes], body: bytes) -> None:
+    def _handle_request(self, sock: socket.socket, words: list[bytes], body: bytes) -> None:
         if words[0] != b"do":
-            super()._take(sock, words, body)
+            super()._handle_request(sock, words, body)
             return
         kind, work = body.rpartition(b"-- ")[2].split(b"=")
-        meets = self.random.choices(list(MEETS), list(MEETS.values()))[0]
-        self.audit.came(kind, int(work), words[1], meets not in ("overload", "nobody"))
+        meets = self.random.choices(list(RESPONSE_WEIGHTS), list(RESPONSE_WEIGHTS.values()))[0]
+        self.audit.record_request(kind, int(work), words[1], meets not in ("overload", "nobody"))
         asyncio.get_running_loop().call_later(
-            self.random.uniform(0.0, 0.03), self._meet, sock, words[1], meets
+            self.random.uniform(0.0, 0.03), self._respond, sock, words[1], meets
         )
 
-    def _meet(self, sock: socket.socket, id: bytes, meets: str) -> None:
+    def _respond(self, sock: socket.socket, id: bytes, response: str) -> None:
         later = asyncio.get_running_loop().call_later
         good = b"total=1,elapsed=5.0,rss=8"
-        match meets:
+        match response:
             case "overload" | "nobody" | "crashed":
-                self._say(sock, id, meets.encode(), b"-")
+                self._send_reply(sock, id, response.encode(), b"-")
             case "served":
-                self._say(sock, id, b"served", good, ROWS)
+                self._send_reply(sock, id, b"served", good, ROWS)
             case "late":
-                later(self.random.uniform(0.2, 1.5), self._say, sock, id, b"served", good, ROWS)
+                later(self.random.uniform(0.2, 1.5), self._send_reply, sock, id, b"served", good, ROWS)
             case "twice":
-                self._say(sock, id, b"served", good, ROWS)
-                later(0.005, self._say, sock, id, b"served", good, ROWS)
+                self._send_reply(sock, id, b"served", good, ROWS)
+                later(0.005, self._send_reply, sock, id, b"served", good, ROWS)
             case "reset":
-                self._break(sock)
+                self._reset_connection(sock)
             case "reset later":
-                later(self.random.uniform(0.1, 1.5), self._break, sock)
+                later(self.random.uniform(0.1, 1.5), self._reset_connection, sock)
             case "half" | "cut":
                 with suppress(OSError):
                     sock.send(b"%b served total=1 %d\r\n%b" % (id, len(ROWS), ROWS[:9]))
-                if meets == "cut":
-                    later(0.01, self._break, sock)
+                if response == "cut":
+                    later(0.01, self._reset_connection, sock)
             case "noted, then nobody":
-                self._say(sock, id, b"update", b"how=done,datum=0.3")
-                self._say(sock, id, b"nobody", b"-")
+                self._send_reply(sock, id, b"update", b"how=done,datum=0.3")
+                self._send_reply(sock, id, b"nobody", b"-")
             case "served, then overload":
-                self._say(sock, id, b"served", b"total=2,elapsed=5.0", ROWS)
-                self._say(sock, id, b"overload", b"-")
+                self._send_reply(sock, id, b"served", b"total=2,elapsed=5.0", ROWS)
+                self._send_reply(sock, id, b"overload", b"-")
 
-    def _break(self, sock: socket.socket) -> None:
+    def _reset_connection(self, sock: socket.socket) -> None:
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.shutdown(socket.SHUT_RD)  # its reader ends, and closes it with a reset
@@ -131,112 +137,116 @@
 class AuditedClient:
     """Asks for one work after another, and again only where a client may."""
 
-    def __init__(self, story: "Story", number: int) -> None:
-        self.story, self.audit, self.random = story, story.audit, Random(f"{story.seed}-{number}")
+    def __init__(self, scenario: "Scenario", number: int) -> None:
+        self.scenario, self.audit, self.random = scenario, scenario.audit, Random(f"{scenario.seed}-{number}")
         self.sock: socket.socket | None = None
-        self.key, self.port = b"", 0
+        self.cancel_key, self.port = b"", 0
 
     async def run(self, until: float) -> None:
         while monotonic() < until:
-            self.story.works += 1
+            self.scenario.last_work_id += 1
             kind = self.random.choice(["once", "once", "keyed"])
             with suppress(TimeoutError):
                 async with asyncio.timeout(8):
-                    await self._work(kind, self.story.works)
+                    await self._run_work(kind, self.scenario.last_work_id)
             if self.random.random() < 0.2:
                 self._close()
             await asyncio.sleep(self.random.uniform(0.0, 0.05))
         self._close()
 
-    async def _work(self, kind: str, work: int) -> None:
+    async def _run_work(self, kind: str, work_id: int) -> None:
         crossed = False
         for _ in range(6):
             try:
-                end = await self._ask(kind, work)
+                end = await self._send_query(kind, work_id)
             except ConnectionRefusedError:
                 await asyncio.sleep(0.05)
                 continue
-            self.audit.ends[end] += 1
+            self.audit.outcomes[end] += 1
             if end == "closed at once" and not crossed:
                 crossed = True
             elif end not in ("53000", "57P03"):
                 return
             await asyncio.sleep(self.random.uniform(0.0, 0.1))
 
-    async def _ask(self, kind: str, work: int) -> str:
+    async def _send_query(self, kind: str, work_id: int) -> str:
         loop, call = asyncio.get_running_loop(), f"{self.random.getrandbits(64):016x}"
-        text = f"/* op={kind},call={call},ttl=2500 */ SELECT 1 FROM a_1.t -- {kind}={work}".encode() + b"\0"
+        text = (
+            f"/* op={kind},call={call},ttl=2500 */ SELECT 1 FROM a_1.t -- {kind}={work_id}".encode() + b"\0"
+        )
         data = b"Q" + struct.pack("!I", len(text) + 4) + text
         readies = 1
         if self.sock is None:
             self.sock = socket.socket()
             self.sock.setblocking(False)
             try:
-                self.port = self.random.choice(self.story.ports)
+                self.port = self.random.choice(self.scenario.ports)
                 await loop.sock_connect(self.sock, ("127.0.0.1", self.port))
             except OSError:
                 self._close()
                 raise ConnectionRefusedError from None
-            data, readies = startup() + data, 2
+            data, readies = startup_message() + data, 2
         sent = monotonic()
         try:
             await loop.sock_sendall(self.sock, data)
-            async with asyncio.timeout(self._patience()):
-                got = await self._read(readies)
+            async with asyncio.timeout(self._choose_timeout_s()):
+                got = await self._read_until_ready(readies)
         except TimeoutError:
-            return await self._leave(work)
+            return await self._abandon_query(work_id)
         except OSError:
             self._close()
-            crossed = monotonic() - sent < CROSSING_S and self.port not in self.story.killed
+            crossed = monotonic() - sent < CROSSING_CLOSE_S and self.port not in self.scenario.killed
             return "closed at once" if crossed else "closed"
         if (at := got.find(b"SERROR\0")) >= 0:
             at = got.index(b"C", at + 7)
             return got[at + 1 : at + 6].decode()
         return "served"
 
-    def _patience(self) -> float:
+    def _choose_timeout_s(self) -> float:
         return self.random.uniform(0.0, 0.5) if self.random.random() < 0.3 else 6.0
 
-    async def _leave(self, work: int) -> str:
+    async def _abandon_query(self, work_id: int) -> str:
         """Stop waiting: with a cancel request ahead, or by a close alone."""
         assert self.sock is not None
-        if self.key and self.random.random() < 0.5:
+        if self.cancel_key and self.random.random() < 0.5:
             other = socket.socket()
             other.setblocking(False)
             with suppress(OSError):
                 await asyncio.get_running_loop().sock_connect(other, self.sock.getpeername())
-                other.send(struct.pack("!II", 16, 80877102) + self.key)
-            self.audit.left[work] = monotonic()
+                other.send(struct.pack("!II", 16, 80877102) + self.cancel_key)
+            self.audit.departed_at[work_id] = monotonic()
             await asyncio.sleep(0.05)
             other.close()
         self._close()
-        self.audit.left.setdefault(work, monotonic())
+        self.audit.departed_at.setdefault(work_id, monotonic())
         return "left"
 
-    async def _read(self, readies: int) -> bytes:
+    async def _read_until_ready(self, ready_count: int) -> bytes:
         loop, data, chunk = asyncio.get_running_loop(), bytearray(), bytearray(4096)
         assert self.sock is not None
-        while data.count(b"Z\0\0\0\5I") < readies:
+        while data.count(b"Z\0\0\0\5I") < ready_count:
             count = await loop.sock_recv_into(self.sock, chunk)
             if not count:
                 raise ConnectionError
             data += memoryview(chunk)[:count]
             if (at := data.find(b"K\0\0\0\x0c")) >= 0:
-                self.key = bytes(data[at + 5 : at + 13])
+                self.cancel_key = bytes(data[at + 5 : at + 13])
         return bytes(data)
 
     def _close(self) -> None:
         if self.sock is not None:
             self.sock.close()
-        self.sock, self.key = None, b""
+        self.sock, self.cancel_key = None, b""
 
 
-class Story:
+class Scenario:
     """One seed: two gateways at a time, three engines, some clients."""
 
-    def __init__(self, seed: int, folder: Path, make: Callable[[dict[str, Any], Path], Gateway]) -> None:
-        self.seed, self.folder, self.make, self.random = seed, folder, make, Random(seed)
-        self.audit, self.works, self.started = Audit(), seed * 1_000_000, 0
+    def __init__(
+        self, seed: int, folder: Path, make_gateway: Callable[[dict[str, Any], Path], Gateway]
+    ) -> None:
+        self.seed, self.folder, self.make_gateway, self.random = seed, folder, make_gateway, Random(seed)
+        self.audit, self.last_work_id, self.gateways_started = OnceAudit(), seed * 1_000_000, 0
         self.ports: list[int] = []
         self.killed: set[int] = set()
         self.gateways: list[Gateway] = []
@@ -244,19 +254,19 @@
         self.bulletin = FleetBulletin()
 
     def _classes(self) -> list[dict[str, Any]]:
-        base = {"DeadlineUs": 3_000_000, "WindowUs": int(WINDOW_S * 1e6), "Group": "all"}
+        base = {"DeadlineUs": 3_000_000, "WindowUs": int(DEDUPLICATION_WINDOW_S * 1e6), "Group": "all"}
         return [{**base, "Name": "once", "Effect": "once"}, {**base, "Name": "keyed", "Effect": "by_key"}]
 
-    async def start(self) -> None:
+    async def start_gateway(self) -> None:
         with listener() as free:
             port: int = free.getsockname()[1]
-        self.started += 1
-        folder = self.folder / str(self.started)
+        self.gateways_started += 1
+        folder = self.folder / str(self.gateways_started)
         folder.mkdir()
         where = f"127.0.0.1:{self.bulletin.port}"
-        config = configuration(f"n{self.started}", port, where, self.bulletin.events[:1], 256)
+        config = configuration(f"n{self.gateways_started}", port, where, self.bulletin.events[:1], 256)
         config["settings"]["Classes"] = self._classes()
-        gateway = self.make(config, folder)
+        gateway = self.make_gateway(config, folder)
         self.gateways.append(gateway)
         for _ in range(400):
             with suppress(OSError), socket.create_connection(("127.0.0.1", port), 1):
@@ -264,11 +274,11 @@
             await asyncio.sleep(0.025)
         self.ports.append(port)
 
-    async def _restarts(self) -> None:
+    async def _restart_gateways(self) -> None:
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.2))
             gateway, port = self.gateways[-2], self.ports[0]
-            await self.start()
+            await self.start_gateway()
             how = signal.SIGKILL if self.random.random() < 0.3 else signal.SIGTERM
             if how is signal.SIGKILL:
                 self.killed.add(port)
@@ -276,7 +286,7 @@
             await asyncio.sleep(0.3 if how is signal.SIGTERM else 0.0)
             self.ports.remove(port)
 
-    async def _drains(self) -> None:
+    async def _drain_engines(self) -> None:
         while True:
             engine = self.random.choice(self.engines)
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
@@ -284,12 +294,12 @@
             await asyncio.sleep(self.random.uniform(0.2, 0.8))
             self.bulletin.publish(engine.entry())
 
-    async def play(self, seconds: float, clients: int = 24) -> Audit:
+    async def run(self, seconds: float, clients: int = 24) -> OnceAudit:
         self.bulletin.start()
         self.bulletin.publish(*(engine.entry() for engine in self.engines), reset=True)
-        await self.start()
-        await self.start()
-        troubles = [asyncio.create_task(self._restarts()), asyncio.create_task(self._drains())]
+        await self.start_gateway()
+        await self.start_gateway()
+        troubles = [asyncio.create_task(self._restart_gateways()), asyncio.create_task(self._drain_engines())]
         until = monotonic() + seconds
         try:
             await asyncio.gather(*(AuditedClient(self, number).run(until) for number in range(clients)))
@@ -298,14 +308,14 @@
                 task.cancel()
             await asyncio.gather(*troubles, return_exceptions=True)
             for gateway in self.gateways:
-                gateway.end()
+                gateway.kill()
             await self.bulletin.close()
             for engine in self.engines:
                 await engine.close()
         return self.audit
 
 
-BREAKS = """
+FAULTY_GATEWAY_CODE = """
 import sys
 from whintrail import brain, interface
 brain.NEVER_RAN += (interface.Outcome.RESET,)
@@ -314,19 +324,19 @@
 """
 
 
-class Broken(Gateway):
+class FaultyGateway(Gateway):
     """A variant that takes a reset for proof that nothing ran: the audit has to find it."""
 
-    run = f'exec "{sys.executable}" -c "$WHINTRAIL_BREAKS"'
+    command = f'exec "{sys.executable}" -c "$WHINTRAIL_BREAKS"'
 
     def __init__(self, config: dict[str, Any], folder: Path) -> None:
-        super().__init__(config, folder, WHINTRAIL_BREAKS=BREAKS, PYTHONPATH=os.getcwd())
+        super().__init__(config, folder, WHINTRAIL_BREAKS=FAULTY_GATEWAY_CODE, PYTHONPATH=os.getcwd())
 
 
-def play(seed: int, seconds: float, broken: bool = False) -> Audit:
+def run_scenario(seed: int, seconds: float, faulty: bool = False) -> OnceAudit:
     with tempfile.TemporaryDirectory() as folder:
 
-        async def story() -> Audit:
-            return await Story(seed, Path(folder), Broken if broken else Gateway).play(seconds)
+        async def story() -> OnceAudit:
+            return await Scenario(seed, Path(folder), FaultyGateway if faulty else Gateway).run(seconds)
 
         return asyncio.run(story())
--- a/whintrail/standins/refusals.py
+++ b/whintrail/standins/refusals.py
@@ -15,17 +15,23 @@
 import sys
 
 PR_SET_NO_NEW_PRIVS, PR_SET_SECCOMP, SECCOMP_MODE_FILTER = 38, 22, 2
-LOAD, EQUAL, BITS, RETURN = (
+BPF_LOAD_WORD, BPF_JUMP_IF_EQUAL, BPF_JUMP_IF_BITS_SET, BPF_RETURN = (
     0x20,
     0x15,
     0x45,
     0x06,
 )  # BPF: load a word, jump if equal, jump if bits are set, return
-ALLOW, REFUSE = 0x7FFF0000, 0x00050000  # SECCOMP_RET_ALLOW; SECCOMP_RET_ERRNO, with the error in the low bits
-NUMBER, FIRST = 0, 16  # offsets in seccomp_data: the call, the low half of its first argument
+SECCOMP_RET_ALLOW, SECCOMP_RET_ERRNO = (
+    0x7FFF0000,
+    0x00050000,
+)  # SECCOMP_RET_ALLOW; SECCOMP_RET_ERRNO, with the error in the low bits
+SYSCALL_NUMBER_OFFSET, FIRST_ARGUMENT_OFFSET = (
+    0,
+    16,
+)  # offsets in seccomp_data: the call, the low half of its first argument
 CLONE_THREAD = 0x10000
-SOCKET, CLONE = 41, 56
-REFUSED = {
+SYS_SOCKET, SYS_CLONE = 41, 56
+REFUSED_SYSCALLS = {
     57: errno.ENOSYS,
     58: errno.ENOSYS,
     435: errno.ENOSYS,
@@ -35,26 +41,34 @@
 }
 
 
-def program() -> bytes:
+def build_filter() -> bytes:
     """fork, vfork, clone3, io_uring_setup, sendfile, splice; clone unless of a thread; socket of IPv6."""
 
     def step(code: int, value: int, then: int = 0, other: int = 0) -> bytes:
         return struct.pack("HBBI", code, then, other, value)
 
-    steps = [step(LOAD, NUMBER)]
-    for number, error in REFUSED.items():
-        steps += [step(EQUAL, number, 0, 1), step(RETURN, REFUSE | error)]
-    steps += [step(EQUAL, CLONE, 0, 4), step(LOAD, FIRST), step(BITS, CLONE_THREAD, 1, 0)]
-    steps += [step(RETURN, REFUSE | errno.ENOSYS), step(RETURN, ALLOW)]
-    steps += [step(EQUAL, SOCKET, 0, 3), step(LOAD, FIRST), step(EQUAL, int(socket.AF_INET6), 0, 1)]
-    steps += [step(RETURN, REFUSE | errno.EAFNOSUPPORT), step(RETURN, ALLOW)]
+    steps = [step(BPF_LOAD_WORD, SYSCALL_NUMBER_OFFSET)]
+    for number, error in REFUSED_SYSCALLS.items():
+        steps += [step(BPF_JUMP_IF_EQUAL, number, 0, 1), step(BPF_RETURN, SECCOMP_RET_ERRNO | error)]
+    steps += [
+        step(BPF_JUMP_IF_EQUAL, SYS_CLONE, 0, 4),
+        step(BPF_LOAD_WORD, FIRST_ARGUMENT_OFFSET),
+        step(BPF_JUMP_IF_BITS_SET, CLONE_THREAD, 1, 0),
+    ]
+    steps += [step(BPF_RETURN, SECCOMP_RET_ERRNO | errno.ENOSYS), step(BPF_RETURN, SECCOMP_RET_ALLOW)]
+    steps += [
+        step(BPF_JUMP_IF_EQUAL, SYS_SOCKET, 0, 3),
+        step(BPF_LOAD_WORD, FIRST_ARGUMENT_OFFSET),
+        step(BPF_JUMP_IF_EQUAL, int(socket.AF_INET6), 0, 1),
+    ]
+    steps += [step(BPF_RETURN, SECCOMP_RET_ERRNO | errno.EAFNOSUPPORT), step(BPF_RETURN, SECCOMP_RET_ALLOW)]
     return b"".join(steps)
 
 
-def refuse() -> None:
+def install_filter() -> None:
     """From here on, for this process and what it becomes; OSError where the kernel won't."""
     libc = ctypes.CDLL(None, use_errno=True)
-    steps = program()
+    steps = build_filter()
     buffer = ctypes.create_string_buffer(steps, len(steps))
     filter_ = struct.pack("HxxxxxxP", len(steps) // 8, ctypes.addressof(buffer))
     if libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) or libc.prctl(
@@ -67,7 +81,7 @@
     if platform.machine() != "x86_64":
         print("refusals: only for x86-64", file=sys.stderr)
         return 2
-    refuse()
+    install_filter()
     os.execvp(sys.argv[1], sys.argv[1:])
 
 
--- a/whintrail/standins/rules.py
+++ b/whintrail/standins/rule_audit.py
@@ -8,29 +8,29 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
-from whintrail.standins.simulated import World
+from whintrail.standins.fleet_simulation import FleetSimulation
 from whintrail.versions.lease import ActiveVersion
 from whintrail.versions.rules import Rules, encode
 
-EVERY_US = 20_000
+POLL_INTERVAL_US = 20_000
 
 
 @dataclass(slots=True)
 class RuleAuditor:
-    world: World
-    since: dict[tuple[bytes, bytes], int] = field(default_factory=dict)
-    longest_us: int = 0
+    world: FleetSimulation
+    diverging_since: dict[tuple[bytes, bytes], int] = field(default_factory=dict)
+    longest_divergence_us: int = 0
     unleased_us: int = 0  # summed over gateways
-    apart: int = 0  # most different rules at a time
+    max_distinct_rules: int = 0  # most different rules at a time
     loosest: Callable[[Rules], bool] | None = None
     seen: list[tuple[int, int, bytes]] = field(default_factory=list)
 
     def start(self) -> None:
-        self.world.at(self.world.now + EVERY_US, self._look)
+        self.world.schedule(self.world.now + POLL_INTERVAL_US, self._poll)
 
-    def rule(self, number: int) -> ActiveVersion | None:
+    def active_version(self, number: int) -> ActiveVersion | None:
         process = self.world.processes[number]
-        if process is None or process.node is None or self.world.now < process.stopped_until:
+        if process is None or process.node is None or self.world.now < process.paused_until:
             return None
         versions = process.node.settings
         return (
@@ -39,16 +39,16 @@
             else None
         )
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         now = self.world.now
-        rules = [self.rule(number) for number in range(self.world.count)]
+        rules = [self.active_version(number) for number in range(self.world.count)]
         acted = {encode(rule.rules) for rule in rules if rule is not None and rule.leased}
-        self.unleased_us += EVERY_US * sum(rule is not None and not rule.leased for rule in rules)
-        self.apart = max(self.apart, len(acted))
+        self.unleased_us += POLL_INTERVAL_US * sum(rule is not None and not rule.leased for rule in rules)
+        self.max_distinct_rules = max(self.max_distinct_rules, len(acted))
         pairs = set(combinations(sorted(acted), 2))
-        for pair in [pair for pair in self.since if pair not in pairs]:
-            del self.since[pair]
+        for pair in [pair for pair in self.diverging_since if pair not in pairs]:
+            del self.diverging_since[pair]
         for pair in pairs:
-            began = self.since.setdefault(pair, now)
-            self.longest_us = max(self.longest_us, now - began + EVERY_US)
-        self.world.at(now + EVERY_US, self._look)
+            began = self.diverging_since.setdefault(pair, now)
+            self.longest_divergence_us = max(self.longest_divergence_us, now - began + POLL_INTERVAL_US)
+        self.world.schedule(now + POLL_INTERVAL_US, self._poll)
--- a/whintrail/standins/scripted.py
+++ b/whintrail/standins/scripted.py
@@ -20,7 +20,7 @@
 from typing import Any, ClassVar
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-PATIENCE_S = 15.0  # longer than anything here takes on a busy machine
+WAIT_TIMEOUT_S = 15.0  # longer than anything here takes on a busy machine
 CLASSES: list[dict[str, Any]] = [
     {"Name": "lookup", "Effect": "repeatable", "Group": "all"},
     {"Name": "report", "Effect": "repeatable", "Group": "all"},
@@ -79,9 +79,9 @@
     }
 
 
-def wait_for(what: Callable[[], Any], seconds: float = PATIENCE_S) -> None:
-    end = time.monotonic() + seconds
-    while not what():
+def wait_for(condition: Callable[[], Any], timeout_s: float = WAIT_TIMEOUT_S) -> None:
+    end = time.monotonic() + timeout_s
+    while not condition():
         assert time.monotonic() < end, "waited in vain"
         time.sleep(0.01)
 
@@ -107,8 +107,8 @@
     def __init__(self, port: int = 0) -> None:
         self.sock = listener(port)
         self.port: int = self.sock.getsockname()[1]
-        self.where = f"127.0.0.1:{self.port}"
-        self.open: list[socket.socket] = []
+        self.address = f"127.0.0.1:{self.port}"
+        self.connections: list[socket.socket] = []
         self.lock = threading.Lock()
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -119,39 +119,39 @@
             except OSError:
                 return
             sock.settimeout(60)
-            self.open.append(sock)
-            threading.Thread(target=self._guard, args=(sock,), daemon=True).start()
+            self.connections.append(sock)
+            threading.Thread(target=self._serve_connection, args=(sock,), daemon=True).start()
 
-    def _guard(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket) -> None:
         with suppress(OSError, ValueError):
             self.serve(sock)
 
     def serve(self, sock: socket.socket) -> None:
         raise NotImplementedError
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Break every open connection."""
-        for sock in self.open:
+        for sock in self.connections:
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             reset(sock)
-        self.open.clear()
+        self.connections.clear()
 
     def close(self) -> None:
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
-        self.cut()
+        self.reset_connections()
 
 
 @dataclass
-class Did:
+class ReceivedQuery:
     """A `do` as an engine got it."""
 
     id: str
     fields: dict[str, str]
     statement: bytes
-    at: float = field(default_factory=time.monotonic)
+    received_at: float = field(default_factory=time.monotonic)
 
 
 class Engine(Server):
@@ -161,14 +161,14 @@
         self.name, self.mode = name, mode
         self.pages: list[bytes] = [b"a\tb\tc\n"]
         self.delay = 0.0
-        self.done: list[Did] = []
-        self.words: list[list[str]] = []
+        self.queries: list[ReceivedQuery] = []
+        self.requests: list[list[str]] = []
         super().__init__(port)
 
     def entry(self, state: str = "active", **changes: Any) -> dict[str, Any]:
         return {
             "instanceId": self.name,
-            "hostPort": self.where,
+            "hostPort": self.address,
             "zone": "z1",
             "machineType": "std-16",
             "cell": 0,
@@ -182,44 +182,46 @@
         file = sock.makefile("rb")
         while line := file.readline():
             words = line.decode().split()
-            self.words.append(words)
+            self.requests.append(words)
             match words:
                 case ["do", id, fields, length]:
                     body = file.read(int(length) + 2)
                     pairs = dict(item.split("=", 1) for item in fields.split(",")) if fields != "-" else {}
-                    self.done.append(Did(id, pairs, body[:-2]))
-                    threading.Timer(self.delay, self._guarded_do, (sock, id)).start()
+                    self.queries.append(ReceivedQuery(id, pairs, body[:-2]))
+                    threading.Timer(self.delay, self._answer_query_if_connected, (sock, id)).start()
                 case ["page", id, number]:
-                    self._page(sock, id, int(number))
+                    self._answer_page(sock, id, int(number))
                 case ["top", tag]:
-                    self.say(sock, tag, "green", "stats=busy_reqs:1;pending:0;x0:0.1")
+                    self.send_reply(sock, tag, "green", "stats=busy_reqs:1;pending:0;x0:0.1")
                 case ["ping", tag]:
-                    self.say(sock, tag, "green")
+                    self.send_reply(sock, tag, "green")
 
-    def say(self, sock: socket.socket, id: str, word: str, fields: str = "-", body: bytes = b"") -> None:
+    def send_reply(
+        self, sock: socket.socket, id: str, word: str, fields: str = "-", body: bytes = b""
+    ) -> None:
         with self.lock:
             sock.sendall(f"{id} {word} {fields} {len(body)}\r\n".encode() + body + b"\r\n")
 
-    def _guarded_do(self, sock: socket.socket, id: str) -> None:
+    def _answer_query_if_connected(self, sock: socket.socket, id: str) -> None:
         with suppress(OSError):
-            self._do(sock, id)
+            self._answer_query(sock, id)
 
-    def _do(self, sock: socket.socket, id: str) -> None:
-        end = time.monotonic() + PATIENCE_S
+    def _answer_query(self, sock: socket.socket, id: str) -> None:
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while self.mode == "wait" and time.monotonic() < end:
             time.sleep(0.005)
         match self.mode:
             case "serve" | "close between pages" | "lose pages" | "two pages 1" | "copies":
                 fields = f"total={len(self.pages)},elapsed=12.5,rss=64"
                 for _ in range(1 + (self.mode == "copies")):
-                    self.say(sock, id, "served", fields, self.pages[0])
+                    self.send_reply(sock, id, "served", fields, self.pages[0])
             case "half":
                 with self.lock:
                     sock.sendall(f"{id} served total=1 {len(self.pages[0])}\r\n".encode())
             case "overload" | "crashed" | "nobody" as word:
-                self.say(sock, id, word)
+                self.send_reply(sock, id, word)
             case "note":
-                self.say(sock, id, "update", "how=done,datum=0.5")
+                self.send_reply(sock, id, "update", "how=done,datum=0.5")
             case "reset":
                 reset(sock)
                 sock.shutdown(socket.SHUT_RDWR)
@@ -233,35 +235,35 @@
                 with self.lock:
                     sock.sendall(f"{id} served total=1 999999999\r\n".encode())
             case "unreadable":
-                self.say(sock, id, "served", "total=1", b"only\ttwo\n")
+                self.send_reply(sock, id, "served", "total=1", b"only\ttwo\n")
             case "strangers":
-                self.say(sock, "00000000000000ff", "served", "total=1", b"x\ty\tz\n")
-                self.say(sock, id, "served", "total=1", self.pages[0])
+                self.send_reply(sock, "00000000000000ff", "served", "total=1", b"x\ty\tz\n")
+                self.send_reply(sock, id, "served", "total=1", self.pages[0])
             case "silent":
                 pass
 
-    def _page(self, sock: socket.socket, id: str, number: int) -> None:
+    def _answer_page(self, sock: socket.socket, id: str, number: int) -> None:
         match self.mode:
             case "close between pages":
                 reset(sock)
                 sock.shutdown(socket.SHUT_RDWR)
             case "lose pages":
-                self.say(sock, id, "crashed")
+                self.send_reply(sock, id, "crashed")
             case "two pages 1":
-                self.say(sock, id, "rows", "index=1", self.pages[1])
-                self.say(sock, id, "rows", "index=1", self.pages[2])
+                self.send_reply(sock, id, "rows", "index=1", self.pages[1])
+                self.send_reply(sock, id, "rows", "index=1", self.pages[2])
             case "copies":
                 for _ in range(2):
-                    self.say(sock, id, "rows", f"index={number}", self.pages[number])
+                    self.send_reply(sock, id, "rows", f"index={number}", self.pages[number])
             case _:
-                self.say(sock, id, "rows", f"index={number}", self.pages[number])
+                self.send_reply(sock, id, "rows", f"index={number}", self.pages[number])
 
 
 class Bulletin(Server):
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.asked: list[int] = []
-        self.mute = False  # says nothing more, and keeps connections open
+        self.requested_events: list[int] = []
+        self.muted = False  # says nothing more, and keeps connections open
         super().__init__()
 
     def publish(self, *entries: dict[str, Any], reset: bool = False) -> None:
@@ -272,10 +274,10 @@
     def serve(self, sock: socket.socket) -> None:
         line = sock.makefile("rb").readline()
         last = int(line.split()[1])
-        self.asked.append(last)
+        self.requested_events.append(last)
         beat = 0.0
         while True:
-            if self.mute:
+            if self.muted:
                 time.sleep(0.02)
                 continue
             for event in self.events[last:]:
@@ -291,26 +293,26 @@
 class Answer:
     rows: list[tuple[str, ...]] = field(default_factory=list)
     sqlstate: str | None = None
-    text: str = ""
-    tag: str = ""
+    error_text: str = ""
+    command_tag: str = ""
     empty: bool = False
-    status: str = ""  # of the transaction; empty: the connection ended first
+    transaction_status: str = ""  # of the transaction; empty: the connection ended first
 
 
 class Client:
     """A client in the PostgreSQL protocol, byte by byte if asked."""
 
     def __init__(self, port: int, start: bool = True) -> None:
-        self.sock = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
+        self.sock = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S)
         self.file = self.sock.makefile("rb")
         self.parameters: dict[str, str] = {}
-        self.key = (0, 0)
+        self.cancel_key = (0, 0)
         if start:
-            self.sock.sendall(self.startup())
-            self.greeted()
+            self.sock.sendall(self.startup_message())
+            self.read_startup_response()
 
     @staticmethod
-    def startup(version: int = 3 << 16) -> bytes:
+    def startup_message(version: int = 3 << 16) -> bytes:
         body = struct.pack("!I", version) + b"user\0app\0database\0dw\0\0"
         return struct.pack("!I", len(body) + 4) + body
 
@@ -319,7 +321,7 @@
         return kind + struct.pack("!I", len(body) + 4) + body
 
     @classmethod
-    def simple(cls, text: str) -> bytes:
+    def simple_query(cls, text: str) -> bytes:
         return cls.message(b"Q", text.encode() + b"\0")
 
     def read(self) -> tuple[bytes, bytes]:
@@ -329,20 +331,20 @@
         kind, length = struct.unpack("!cI", head)
         return kind, self.file.read(length - 4)
 
-    def greeted(self) -> None:
+    def read_startup_response(self) -> None:
         while True:
             kind, body = self.read()
             if kind == b"S":
                 name, value = body.split(b"\0")[:2]
                 self.parameters[name.decode()] = value.decode()
             elif kind == b"K":
-                self.key = struct.unpack("!II", body)
+                self.cancel_key = struct.unpack("!II", body)
             elif kind == b"Z":
                 return
             else:
                 assert kind in (b"R", b"v"), kind
 
-    def answer(self) -> Answer:
+    def read_answer(self) -> Answer:
         found = Answer()
         while True:
             kind, body = self.read()
@@ -350,14 +352,14 @@
                 case b"D":
                     found.rows.append(self._row(body))
                 case b"C":
-                    found.tag = body[:-1].decode()
+                    found.command_tag = body[:-1].decode()
                 case b"I":
                     found.empty = True
                 case b"E":
                     fields = {part[:1]: part[1:].decode() for part in body.split(b"\0") if part}
-                    found.sqlstate, found.text = fields[b"C"], fields[b"M"]
+                    found.sqlstate, found.error_text = fields[b"C"], fields[b"M"]
                 case b"Z":
-                    found.status = body.decode()
+                    found.transaction_status = body.decode()
                     return found
                 case b"":
                     return found
@@ -372,12 +374,12 @@
             at += 4 + length
         return tuple(values)
 
-    def send(self, text: str) -> None:
-        self.sock.sendall(self.simple(text))
+    def send_query(self, text: str) -> None:
+        self.sock.sendall(self.simple_query(text))
 
     def ask(self, text: str) -> Answer:
-        self.send(text)
-        return self.answer()
+        self.send_query(text)
+        return self.read_answer()
 
     def close(self) -> None:
         self.file.close()
@@ -397,19 +399,19 @@
 class Gateway:
     """The program, started as deploy/balancer.toml says."""
 
-    under: ClassVar[tuple[str, ...]] = ()  # a command that starts it in its turn
-    run: ClassVar[str] = ""  # another command than the deployed one
+    command_prefix: ClassVar[tuple[str, ...]] = ()  # a command that starts it in its turn
+    command: ClassVar[str] = ""  # another command than the deployed one
 
     def __init__(self, config: dict[str, Any] | None, folder: Path, **environment: str) -> None:
         with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
-            run = self.run or tomllib.load(file)["run"]
-        self.log = folder / "log"
-        self.path = path = folder / "config.json"
+            run = self.command or tomllib.load(file)["run"]
+        self.log_path = folder / "log"
+        self.config_path = path = folder / "config.json"
         if config is not None:
             path.write_text(json.dumps(config))
-        with open(self.log, "wb") as log:
+        with open(self.log_path, "wb") as log:
             self.process = subprocess.Popen(
-                [*self.under, "/bin/sh", "-c", run],
+                [*self.command_prefix, "/bin/sh", "-c", run],
                 cwd=ROOT,
                 env={**os.environ, "RELAY_CONFIG": str(path), **environment},
                 stdout=log,
@@ -419,13 +421,13 @@
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
 
-    def text(self) -> str:
-        return self.log.read_text()
+    def log_text(self) -> str:
+        return self.log_path.read_text()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         if self.process.poll() is None:
             self.process.kill()
-        self.process.wait(PATIENCE_S)
+        self.process.wait(WAIT_TIMEOUT_S)
 
 
 class Deployment:
@@ -443,15 +445,15 @@
         self.bulletin.publish(*(engine.entry() for engine in engines), reset=True)
         with listener() as free:
             self.port: int = free.getsockname()[1]
-        self.config = configuration("n0", self.port, self.bulletin.where, self.bulletin.events, sockets)
+        self.config = configuration("n0", self.port, self.bulletin.address, self.bulletin.events, sockets)
         self.config["settings"] = settings(**limits)
         if classes is not None:
             self.config["settings"]["Classes"] = classes
         self.gateway = Gateway(self.config, folder)
-        wait_for(self.ready)
+        wait_for(self.is_ready)
 
-    def ready(self) -> bool:
-        assert self.gateway.process.poll() is None, self.gateway.text()
+    def is_ready(self) -> bool:
+        assert self.gateway.process.poll() is None, self.gateway.log_text()
         try:
             client = Client(self.port)
         except OSError:
@@ -463,8 +465,8 @@
     def client(self) -> Client:
         return Client(self.port)
 
-    def end(self) -> None:
-        self.gateway.end()
+    def close(self) -> None:
+        self.gateway.kill()
         for server in (self.bulletin, *self.engines):
             server.close()
 
@@ -476,4 +478,4 @@
         try:
             yield given
         finally:
-            given.end()
+            given.close()
