--- a/whintrail/scale/__init__.py
+++ b/whintrail/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What a size costs: cores alone, hollow and real gateways, a simulated fleet; fits, budgets, the page."""
+"""Capacity model: costs measured by fleet size (cores, gateways, simulation), their fits and budgets."""
--- a/whintrail/scale/inputs.py
+++ b/whintrail/scale/inputs.py
@@ -1,7 +1,7 @@
-"""Every figure that the capacity model takes as given: the operators', assumed ones, and the program's own.
+"""The inputs of the capacity model: the operators' requirements, assumptions, and constants of the program.
 
-Nothing here is measured: that stands in docs/capacity/*.json. The program's own paces and bounds are read off
-the code that uses them, so that the model can't fall behind it.
+Measured values are not here but in docs/capacity/*.json. Intervals and limits of the program are read from
+the code that uses them, so that the model cannot become stale.
 """
 
 from collections.abc import Mapping
@@ -25,6 +25,8 @@
 
 
 class Input(Struct, frozen=True):
+    """A value that the model takes as given, with its source and the reason for it."""
+
     name: str
     unit: str
     value: float
@@ -44,14 +46,14 @@
     return Input(name, unit, value, "program", reason)
 
 
-MAX_SOCKETS, MAX_MEMORY_MB = 1024, 192  # the most that the platform gives a gateway
+# The largest limits that the platform gives a gateway.
+MAX_SOCKETS = 1024
+MAX_MEMORY_MB = 192
 GATEWAY_LIMITS = Limits.read({"limits": {"sockets": MAX_SOCKETS, "memory_mb": MAX_MEMORY_MB}, "settings": {}})
-FLEET_SETTINGS, VERSION_TIMING, MEMBERSHIP_TIMING, CONSENSUS_TIMING = (
-    Fleet(name="x", council=(0,)),
-    VersionTiming(),
-    MembershipTiming(),
-    ConsensusTiming(),
-)
+FLEET_SETTINGS = Fleet(name="x", council=(0,))
+VERSION_TIMING = VersionTiming()
+MEMBERSHIP_TIMING = MembershipTiming()
+CONSENSUS_TIMING = ConsensusTiming()
 
 ALL_INPUTS = (
     _from_operators("gateways", "count", 4000, "the size that is coming"),
@@ -115,10 +117,10 @@
         "refresh_per_s",
         "1/s",
         1e6 / routing.WEIGHT_REFRESH_INTERVAL_US,
-        "brain.REFRESH_US: while work is out",
+        "routing.WEIGHT_REFRESH_INTERVAL_US: while work is out",
     ),
-    _from_program("sweep_per_s", "1/s", 1e6 / routing.SWEEP_INTERVAL_US, "brain.SWEEP_US"),
-    _from_program("turns_per_s", "1/s", 1 / TICK_INTERVAL_S, "gateway/fleet.TURN_S"),
+    _from_program("sweep_per_s", "1/s", 1e6 / routing.SWEEP_INTERVAL_US, "routing.SWEEP_INTERVAL_US"),
+    _from_program("turns_per_s", "1/s", 1 / TICK_INTERVAL_S, "gateway/fleet.TICK_INTERVAL_S"),
     _from_program(
         "probe_shared_s",
         "s",
@@ -129,13 +131,13 @@
         "silent_s", "s", routing.MIN_SILENCE_US / 1e6, "silence of an engine before it is given up, at least"
     ),
     _from_program(
-        "lease_s", "s", VERSION_TIMING.lease_us / 1e6, "VersionPace: a rule holds so long from the asking"
+        "lease_s", "s", VERSION_TIMING.lease_us / 1e6, "VersionTiming: a rule holds so long from the asking"
     ),
     _from_program(
         "lease_asks_per_s",
         "1/s",
         1e6 / VERSION_TIMING.renew_interval_us,
-        "VersionPace, a gateway; what is new is asked at once",
+        "VersionTiming, a gateway; what is new is asked at once",
     ),
     _from_program("stated_s", "s", VERSION_TIMING.max_divergence_us / 1e6, "T of docs/versions.md"),
     _from_program(
@@ -198,5 +200,5 @@
 
 
 def input_value(name: str) -> float:
-    """Errors: KeyError where there is no such input."""
+    """Returns the value of an input. Raises KeyError if there is no such input."""
     return INPUT_BY_NAME[name].value
--- a/whintrail/scale/results.py
+++ b/whintrail/scale/results.py
@@ -1,7 +1,7 @@
-"""Files of results: what a command measured, at which sizes, on which machine and commit.
+"""Result files: what a command measured, at which fleet sizes, on which machine and commit.
 
-A file is JSON, one object of type `Results`. Every figure on docs/CAPACITY.md comes from one of them, in
-docs/capacity/. Units are part of a sample, and one quantity has one unit wherever it stands.
+A file holds one `Results` object as JSON. Every number in docs/CAPACITY.md comes from a file in
+docs/capacity/. Each sample states its unit, and a quantity has the same unit in all files.
 """
 
 import os
@@ -16,19 +16,23 @@
 from msgspec import Struct
 
 FORMAT = 1
-# real: gateways of `run`'s own way. hollow: real cores and datagrams without sessions and links. core: one
-# core alone in a loop. simulated: cores in simulated time. reckoned: from a formula, nothing was run.
+# How a value was obtained:
+#   real: gateways started as by `whintrail run`.
+#   hollow: cores that exchange real datagrams, without sessions and links.
+#   core: one core called in a loop.
+#   simulated: cores in simulated time.
+#   reckoned: calculated by a formula, without a run.
 Kind = Literal["real", "hollow", "core", "simulated", "reckoned"]
 
 
 class ResultsError(ValueError):
-    """The file is no results file of this format."""
+    """The file is not a results file of this format."""
 
 
 class Sample(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One quantity at one size: the median of `n` figures, with the 5th and the 95th hundredth of them."""
+    """One quantity at one fleet size: the median of `n` values, with their 5th and 95th percentile."""
 
-    quantity: str  # a lower-case name, its unit last: refresh_us
+    quantity: str  # lower-case name that ends with its unit: refresh_us
     unit: str  # us, ms, s, bytes, bytes/s, datagrams/s, share (of one core), count
     gateways: int
     engines: int
@@ -39,20 +43,24 @@
     kind: Kind
     role: str = "gateway"  # gateway, leader, engine, bulletin, control machine, command
     day: str = "steady"
-    subset: int = 0  # engines that each gateway keeps; 0: all
+    subset: int = 0  # engines assigned to each gateway; 0: all of them
     note: str = ""
 
 
 class Machine(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The machine on which a command ran."""
+
     cores: int
     memory_mb: int
     python: str
-    load: float  # the mean of waiting threads over the last minute, when the command began
+    load: float  # load average over one minute when the command started
 
 
 class Results(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The content of one results file."""
+
     format: Literal[1] = 1
-    command: str  # as it was typed
+    command: str  # as typed
     commit: str
     taken_at: str  # UTC, ISO 8601
     took_s: float
@@ -62,35 +70,36 @@
 
 
 def current_machine() -> Machine:
-    memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") >> 20
+    """Describes this machine, with its load at the time of the call."""
+    memory_mb = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") >> 20
     cores, python = os.cpu_count() or 1, platform.python_version()
-    return Machine(cores=cores, memory_mb=memory, python=python, load=round(os.getloadavg()[0], 2))
+    return Machine(cores=cores, memory_mb=memory_mb, python=python, load=round(os.getloadavg()[0], 2))
 
 
 def current_commit() -> str:
-    """The commit of the tree that runs, with a plus where files differ from it; empty outside a checkout."""
+    """The commit of the running checkout, with a `+` if files differ from it; empty outside a checkout."""
     root = Path(__file__).parents[2]
     try:
-        asked = ["git", "-C", str(root), "describe", "--always", "--dirty=+", "--abbrev=12", "--exclude=*"]
-        return subprocess.run(asked, capture_output=True, text=True, timeout=10, check=True).stdout.strip()
+        command = ["git", "-C", str(root), "describe", "--always", "--dirty=+", "--abbrev=12", "--exclude=*"]
+        return subprocess.run(command, capture_output=True, text=True, timeout=10, check=True).stdout.strip()
     except (OSError, subprocess.SubprocessError):
         return ""
 
 
 def sample(quantity: str, unit: str, size: tuple[int, int], values: list[float], kind: Kind) -> Sample:
-    """The median of the values with their 5th and 95th hundredth; `sizes`: gateways, engines."""
-    ranked = sorted(values)
-    last = len(ranked) - 1
-    low, high = (ranked[round(last * share)] for share in (0.05, 0.95))
+    """Summarizes values as their median with the 5th and 95th percentile; `size` is (gateways, engines)."""
+    sorted_values = sorted(values)
+    last_index = len(sorted_values) - 1
+    low, high = (sorted_values[round(last_index * percentile)] for percentile in (0.05, 0.95))
     return Sample(
         quantity=quantity,
         unit=unit,
         gateways=size[0],
         engines=size[1],
-        value=median(ranked),  # of two the mean
+        value=median(sorted_values),  # the mean of the middle two if the count is even
         low=low,
         high=high,
-        n=len(ranked),
+        n=len(sorted_values),
         kind=kind,
     )
 
@@ -98,7 +107,7 @@
 def save_results(
     path: Path, command: str, started_at_s: float, machine: Machine, samples: list[Sample], note: str
 ) -> None:
-    """`began`: time.time() when the command began; `machine` as it was then."""
+    """Writes a results file; `started_at_s` and `machine` are as of the start of the command."""
     results = Results(
         command=command,
         commit=current_commit(),
@@ -113,6 +122,7 @@
 
 
 def load_results(path: Path) -> Results:
+    """Reads a results file. Raises ResultsError if it is missing or invalid."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Results)
     except (OSError, msgspec.DecodeError) as error:
