--- a/whintrail/scale/capacity.py
+++ b/whintrail/scale/capacity.py
@@ -1,8 +1,9 @@
-"""The capacity model: what each row of the table by role comes to at a size, held against its budget. Pure.
+"""The capacity model: evaluates rows of costs at a fleet size and compares them with their budgets.
 
-A row is measured slopes (`fitting.py`) times the paces of the program (`inputs.py`), as a function of a size.
-A figure that was not measured is not guessed: the row says which is missing. Ranges are added up end to end,
-as if all were off the same way; that is wider than independent errors would give.
+A row is a function of the fleet size: measured costs (`fitting.py`) times rates of the program (`inputs.py`).
+A value that was not measured is not guessed: the row names the missing quantity. The bounds of a sum are the
+sums of the bounds, as if all errors had the same sign; that is wider than the range of independent errors.
+The module does no I/O.
 """
 
 import math
@@ -21,8 +22,9 @@
 Dimension = Literal["engines", "gateways"]
 RowDimension = Literal["engines", "gateways", "both", "neither"]
 Statistic = Literal["value", "high"]
-# What no subset of engines touches: membership, agreement, the list until it is read. The gateway's update it
-# lessens: without a figure of its own, that of all engines is the most.
+# Quantities that do not depend on the subset of engines that a gateway keeps: membership, consensus, and
+# reading the engine list. The gateway's list update gets cheaper with a subset: where it was not measured
+# with one, the cost with all engines serves as an upper bound.
 SUBSET_INDEPENDENT_PREFIXES: tuple[str, ...] = (
     "membership_",
     "node_",
@@ -34,17 +36,18 @@
     "leader_",
 )
 SUBSET_INDEPENDENT_PREFIXES += ("gateway_update_",)
-WIDE_RANGE_RATIO = 2.0  # times the value: a range wider than that says that the sizes taken don't tell
-SEARCH_LIMIT_FACTOR = 10.0  # sizes are looked through up to so many times the one that is coming
+WIDE_RANGE_RATIO = 2.0  # a range wider than this many times its value is inconclusive
+SECONDS_PER_DAY = 86_400
+SEARCH_LIMIT_FACTOR = 10.0  # crossings are searched for up to this many times the target size
 
 
 class NotMeasured(LookupError):
-    """No file has the quantity at two sizes or more; the text names it."""
+    """No file has the quantity at two or more sizes; the message is the quantity's name."""
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure with the range in which a measurement would be found, at 95%."""
+    """A value with its 95% prediction interval."""
 
     value: float
     low: float
@@ -55,21 +58,25 @@
 
     @property
     def is_wide(self) -> bool:
-        """Its range is so wide that it tells nothing."""
+        """Whether the range is too wide to be conclusive."""
         return not math.isfinite(self.high) or self.high - self.low > WIDE_RANGE_RATIO * self.value
 
     def __mul__(self, factor: float) -> "Estimate":
-        """By a figure above 0."""
+        """Scales value and range by a positive factor."""
         return Estimate(self.value * factor, self.low * factor, self.high * factor)
 
 
 def exact(value: float) -> Estimate:
+    """An estimate without uncertainty."""
     return Estimate(value, value, value)
 
 
 @dataclass(frozen=True, slots=True)
 class MeasurementKey:
-    """Which measured quantity, over which size; `high`: its 95th or 99th hundredth, not its median."""
+    """Selects a measured quantity and the dimension over which it is fitted.
+
+    `stat` "high" selects the 95th or 99th percentile of each sample in place of the median.
+    """
 
     quantity: str
     grows_with: Dimension
@@ -81,22 +88,22 @@
 
 
 class FitCache:
-    """Fits of all samples, each made once. `subset`: engines that each gateway keeps; 0: all."""
+    """Fits of the samples, each computed once. `subset`: engines that each gateway keeps; 0: all."""
 
     def __init__(self, samples: Sequence[Sample], subset: int = 0) -> None:
         self.samples, self.subset = list(samples), subset
         self.fits: dict[MeasurementKey, Fit | None] = {}
 
     def fit(self, key: MeasurementKey) -> Fit:
-        """Errors: NotMeasured."""
+        """Returns the fit of a quantity. Raises NotMeasured if there are too few samples."""
         if key not in self.fits:
             samples = [s for s in self.samples if s.quantity == key.quantity]
             if key.stat == "high":
                 samples = [_with_high_as_value(s) for s in samples]
             self.fits[key] = self._fit(samples, key)
-        if (found := self.fits[key]) is None:
+        if (fitted := self.fits[key]) is None:
             raise NotMeasured(key.quantity)
-        return found
+        return fitted
 
     def _fit(self, samples: list[Sample], key: MeasurementKey) -> Fit | None:
         subset = self.subset
@@ -106,28 +113,28 @@
             and key.quantity.startswith(SUBSET_INDEPENDENT_PREFIXES)
         ):
             subset = 0
-        given = {"kind": key.kind, "role": key.role, "subset": subset, "note": key.note, "day": key.day}
+        selection = {"kind": key.kind, "role": key.role, "subset": subset, "note": key.note, "day": key.day}
         try:
-            return fit(samples, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
+            return fit(samples, key.quantity, key.grows_with, **selection)  # type: ignore[arg-type]
         except FitError:
             if not subset:
                 return None
-        # With a subset both sizes may have grown in step, so that a gateway's part stays as large.
-        other = "gateways" if key.grows_with == "engines" else "engines"
-        stepped = [replace(s, **{other: 0}) for s in samples]
+        # Runs with a subset may grow both sizes in proportion, so that each gateway keeps as many engines.
+        other_size = "gateways" if key.grows_with == "engines" else "engines"
+        without_other_size = [replace(s, **{other_size: 0}) for s in samples]
         try:
-            return fit(stepped, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
+            return fit(without_other_size, key.quantity, key.grows_with, **selection)  # type: ignore[arg-type]
         except FitError:
             return None
 
 
-def _with_high_as_value(s: Sample) -> Sample:
-    return replace(s, value=s.high, low=s.high)
+def _with_high_as_value(sample: Sample) -> Sample:
+    return replace(sample, value=sample.high, low=sample.high)
 
 
 @dataclass(slots=True)
 class EvaluationPoint:
-    """So many gateways before so many engines; remembers which measured quantities were asked for."""
+    """A fleet size at which rows are evaluated; records which measured quantities they use."""
 
     gateways: float
     engines: float
@@ -145,31 +152,33 @@
         stat: Statistic = "value",
         day: str = "steady",
     ) -> Estimate:
-        """Errors: NotMeasured."""
-        use = MeasurementKey(quantity, grows_with, kind, role, note, stat, day)
-        if use not in self.used_keys:
-            self.used_keys.append(use)
-        x = self.engines if grows_with == "engines" else self.gateways
-        found = self.fit_cache.fit(use)
-        value, low, high = found.at(x)
-        if value < 0 and x > max(found.sizes):  # nothing is: the curve has left what it was taken of
+        """Estimates a measured quantity at this size. Raises NotMeasured."""
+        key = MeasurementKey(quantity, grows_with, kind, role, note, stat, day)
+        if key not in self.used_keys:
+            self.used_keys.append(key)
+        size = self.engines if grows_with == "engines" else self.gateways
+        fitted = self.fit_cache.fit(key)
+        value, low, high = fitted.at(size)
+        if value < 0 and size > max(fitted.sizes):  # no cost is negative: the fit fails this far out
             return Estimate(0.0, 0.0, math.inf)
         return Estimate(max(0.0, value), max(0.0, low), max(0.0, high))
 
     def estimate_slope(self, quantity: str, grows_with: Dimension, kind: Kind = "core") -> Estimate:
-        """What one engine or gateway more adds, of a line. Errors: NotMeasured."""
-        use = MeasurementKey(quantity, grows_with, kind)
-        if use not in self.used_keys:
-            self.used_keys.append(use)
-        found = self.fit_cache.fit(use)
-        return Estimate(found.slope, found.slope - 2 * found.slope_error, found.slope + 2 * found.slope_error)
+        """Estimates the increase per additional engine or gateway, from a linear fit. Raises NotMeasured."""
+        key = MeasurementKey(quantity, grows_with, kind)
+        if key not in self.used_keys:
+            self.used_keys.append(key)
+        fitted = self.fit_cache.fit(key)
+        return Estimate(
+            fitted.slope, fitted.slope - 2 * fitted.slope_error, fitted.slope + 2 * fitted.slope_error
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure of one role. `budget` None: nobody has set one."""
+    """One value of one role; `budget` is None if none was set."""
 
-    key: str  # names it in files and in the ranking
+    key: str  # its name in files and in the ranking
     role: str
     description: str
     unit: str
@@ -177,36 +186,36 @@
     evaluate: Callable[[EvaluationPoint], Estimate]
     budget: float | None
     budget_name: str
-    code_path: str  # file and name of what carries it today; "" where nothing does
-    formula: str  # slope x what it grows with, in words, where paces come in
-    remedy: str = ""  # where no mechanism is missing: the setting, or the few lines, that mend it; not ranked
+    code_path: str  # "file:Name" of the code that bears the cost today; "" if there is none
+    formula: str  # how the value is calculated, as text for the page
+    remedy: str = ""  # the setting or small change that suffices; such rows are not ranked
     is_total: bool = False  # a sum of other rows, which are ranked themselves
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetCrossing:
-    """The smallest size at which a budget is passed; None: at none up to `BEYOND` times the coming size."""
-
-    size: float | None  # engines or gateways; of both: gateways
-    growth_progress: (
-        float  # of the way from today's size to the one that is coming; inf: at none; never below 0
-    )
-    earliest: float | None  # by the upper end of the range
-    latest: float | None
-    measured_range: tuple[int, int] | None = (
-        None  # the least and the greatest size of what it rests on; None: all
-    )
+    """The smallest size at which a budget is exceeded."""
+
+    # Engines or gateways; gateways for rows that grow with both. None: the budget is not exceeded at any size
+    # up to SEARCH_LIMIT_FACTOR times the target size.
+    size: float | None
+    # 0 at the current size or below, 1 at the target size, inf if the budget is exceeded at no size.
+    growth_progress: float
+    earliest: float | None  # by the upper bound of the estimate
+    latest: float | None  # by the lower bound
+    # The smallest and the largest size at which all quantities of the row were measured; None: no limits.
+    measured_range: tuple[int, int] | None = None
 
     @property
     def is_below_measured(self) -> bool:
-        """At the least size that was taken it is passed already: how much sooner is not known."""
+        """Whether the smallest measured size exceeds the budget already: `size` is then an upper bound."""
         return (
             self.size is not None and self.measured_range is not None and self.size <= self.measured_range[0]
         )
 
     @property
     def is_certain(self) -> bool:
-        """Between sizes that were taken, or beyond them by the lower end of the range too."""
+        """Whether the size is within the measured ones, or the lower bound exceeds the budget as well."""
         if self.size is None:
             return False
         return self.latest is not None or self.measured_range is None or self.size <= self.measured_range[1]
@@ -214,179 +223,195 @@
 
 @dataclass(frozen=True, slots=True)
 class RowResult:
-    """What a row comes to."""
+    """The value of a row at a size, and where its budget is exceeded."""
 
     row: Row
     value: Estimate | None
-    missing: str  # the quantity that was not measured; empty where none is
+    missing: str  # the quantity that was not measured; empty if none is
     crossing: BudgetCrossing | None
     used_keys: tuple[MeasurementKey, ...]
-    is_extrapolated: bool = False  # the sizes at which what it rests on was taken
+    is_extrapolated: bool = False  # the size is larger than the measured sizes of a quantity
 
     @property
     def is_inconclusive(self) -> bool:
-        """Beyond the sizes taken, and its range tells nothing."""
+        """Whether the value is extrapolated and its range too wide to be conclusive."""
         return self.value is not None and self.is_extrapolated and self.value.is_wide
 
     @property
     def is_exceeded(self) -> bool:
-        """At the size that it was reckoned at; a range that tells nothing passes no budget, unless all of it
-        does or it is passed for sure at a smaller size."""
+        """Whether the value exceeds the budget at the evaluated size.
+
+        An inconclusive value counts only if its lower bound exceeds the budget as well, or if the budget is
+        certainly exceeded at a smaller size.
+        """
         if self.value is None or self.row.budget is None or self.value.value <= self.row.budget:
             return False
-        sure = self.crossing is not None and self.crossing.is_certain
-        return not self.is_inconclusive or self.value.low > self.row.budget or sure
+        is_crossing_certain = self.crossing is not None and self.crossing.is_certain
+        return not self.is_inconclusive or self.value.low > self.row.budget or is_crossing_certain
 
     @property
     def budget_share(self) -> float | None:
-        """Of the budget that is used."""
+        """The share of the budget that is used."""
         return self.value.value / self.row.budget if self.value is not None and self.row.budget else None
 
 
 def current_size() -> tuple[float, float]:
+    """Gateways and engines of today's fleet."""
     return inputs.input_value("gateways_today"), inputs.input_value("engines_today")
 
 
 def target_size() -> tuple[float, float]:
+    """Gateways and engines of the fleet that is planned for."""
     return inputs.input_value("gateways"), inputs.input_value("engines")
 
 
 def size_at_progress(progress: float) -> tuple[float, float]:
-    """Gateways and engines at a share of the way from today's size to the one that is coming."""
-    (g0, e0), (g1, e1) = current_size(), target_size()
-    return max(1.0, g0 + progress * (g1 - g0)), max(1.0, e0 + progress * (e1 - e0))
+    """Interpolates gateways and engines: progress 0 is the current size, 1 the target size."""
+    (current_gateways, current_engines), (target_gateways, target_engines) = current_size(), target_size()
+    gateways = current_gateways + progress * (target_gateways - current_gateways)
+    engines = current_engines + progress * (target_engines - current_engines)
+    return max(1.0, gateways), max(1.0, engines)
 
 
 def growth_progress(dimension: RowDimension, size: float) -> float:
-    """Where a size lies between today's and the one that is coming; 0 where it is today's or below."""
-    place = 1 if dimension == "engines" else 0
-    begin, end = current_size()[place], target_size()[place]
-    return max(0.0, (size - begin) / (end - begin))
+    """The position of a size between the current (0) and the target size (1); 0 below the current size."""
+    index = 1 if dimension == "engines" else 0
+    current, target = current_size()[index], target_size()[index]
+    return max(0.0, (size - current) / (target - current))
 
 
 def _fleet_size_at(dimension: RowDimension) -> Callable[[float], tuple[float, float]]:
+    """Maps a size in one dimension to gateways and engines, with the other one at the target size."""
     gateways, engines = target_size()
     if dimension == "engines":
-        return lambda x: (gateways, x)
+        return lambda size: (gateways, size)
     if dimension == "gateways":
-        return lambda x: (x, engines)
-    return lambda x: size_at_progress((x - current_size()[0]) / (gateways - current_size()[0]))
+        return lambda size: (size, engines)
+    return lambda size: size_at_progress((size - current_size()[0]) / (gateways - current_size()[0]))
 
 
 def find_crossing(row: Row, fit_cache: FitCache) -> BudgetCrossing:
-    """Errors: NotMeasured; ValueError where the row has no budget."""
+    """Finds where a row exceeds its budget. Raises NotMeasured, or ValueError if the row has no budget."""
     if row.budget is None:
-        raise ValueError(f"{row.key}: no budget")
+        raise ValueError(f"row {row.key!r} has no budget")
     if row.grows_with == "neither":
-        found = row.evaluate(EvaluationPoint(*target_size(), fit_cache))
-        over = found.value > row.budget
-        size = 0.0 if over else None
-        return BudgetCrossing(size, 0.0 if over else math.inf, size, size)
-    to_size, budget = _fleet_size_at(row.grows_with), row.budget
+        estimate = row.evaluate(EvaluationPoint(*target_size(), fit_cache))
+        is_exceeded = estimate.value > row.budget
+        size = 0.0 if is_exceeded else None
+        return BudgetCrossing(size, 0.0 if is_exceeded else math.inf, size, size)
+    fleet_size_at, budget = _fleet_size_at(row.grows_with), row.budget
 
     @cache
-    def at(x: float) -> Estimate:
-        return row.evaluate(EvaluationPoint(*to_size(x), fit_cache))
-
-    def passes(x: float, which: str) -> bool:
-        return float(getattr(at(x), which)) > budget
-
-    most = SEARCH_LIMIT_FACTOR * target_size()[1 if row.grows_with == "engines" else 0]
-    found_at = {which: _first(lambda x, w=which: passes(x, w), most) for which in ("value", "high", "low")}  # type: ignore[misc]
-    size = found_at["value"]
-    share = math.inf if size is None else growth_progress(row.grows_with, size)
-    used = EvaluationPoint(*target_size(), fit_cache)
-    row.evaluate(used)
+    def estimate_at(x: float) -> Estimate:
+        return row.evaluate(EvaluationPoint(*fleet_size_at(x), fit_cache))
+
+    def exceeds(x: float, bound: str) -> bool:
+        return float(getattr(estimate_at(x), bound)) > budget
+
+    max_size = SEARCH_LIMIT_FACTOR * target_size()[1 if row.grows_with == "engines" else 0]
+    size_by_bound = {
+        bound: _smallest_exceeding_size(lambda x, b=bound: exceeds(x, b), max_size)  # type: ignore[misc]
+        for bound in ("value", "high", "low")
+    }
+    size = size_by_bound["value"]
+    progress = math.inf if size is None else growth_progress(row.grows_with, size)
+    point = EvaluationPoint(*target_size(), fit_cache)
+    row.evaluate(point)
     return BudgetCrossing(
         size,
-        share,
-        found_at["high"],
-        found_at["low"],
-        _measured_range(row.grows_with, used.used_keys, fit_cache),
+        progress,
+        size_by_bound["high"],
+        size_by_bound["low"],
+        _measured_range(row.grows_with, point.used_keys, fit_cache),
     )
 
 
 def _measured_range(
     dimension: RowDimension, used_keys: Sequence[MeasurementKey], fit_cache: FitCache
 ) -> tuple[int, int] | None:
-    """The sizes between which all was taken that a row rests on."""
+    """The range of sizes at which all quantities that a row uses were measured."""
     ranges = []
-    for use in used_keys:
-        if dimension in ("both", use.grows_with):
-            with suppress(NotMeasured):  # another was taken in its place
-                sizes = fit_cache.fit(use).sizes
+    for key in used_keys:
+        if dimension in ("both", key.grows_with):
+            with suppress(NotMeasured):  # the row used another quantity instead
+                sizes = fit_cache.fit(key).sizes
                 ranges.append((min(sizes), max(sizes)))
     if not ranges or dimension in ("both", "neither"):
         return None
     return max(low for low, _ in ranges), min(high for _, high in ranges)
 
 
-def _first(passes: Callable[[float], bool], most: float) -> float | None:
-    """The smallest size that passes, of a figure that rises; sizes from 1 on."""
+def _smallest_exceeding_size(exceeds: Callable[[float], bool], max_size: float) -> float | None:
+    """The smallest size from 1 on that exceeds, for an increasing value: a grid search, then bisection."""
     steps = 120
-    grid = [math.exp(math.log(most) * place / steps) for place in range(steps + 1)]
-    place = next((place for place, x in enumerate(grid) if passes(x)), None)
-    if place is None:
+    grid = [math.exp(math.log(max_size) * index / steps) for index in range(steps + 1)]
+    index = next((index for index, size in enumerate(grid) if exceeds(size)), None)
+    if index is None:
         return None
-    if place == 0:
+    if index == 0:
         return 1.0
-    low, high = grid[place - 1], grid[place]
+    low, high = grid[index - 1], grid[index]
     while high - low > 1e-4 * high:
-        middle = (low + high) / 2
-        low, high = (low, middle) if passes(middle) else (middle, high)
+        midpoint = (low + high) / 2
+        low, high = (low, midpoint) if exceeds(midpoint) else (midpoint, high)
     return high
 
 
 def evaluate_at_largest_measured(
     evaluate: Callable[[EvaluationPoint], Estimate], used_keys: Sequence[MeasurementKey], fit_cache: FitCache
 ) -> tuple[Estimate, tuple[float, float]]:
-    """The value at the greatest gateways and engines, up to the coming ones, at which all was taken that it
-    rests on. Errors: NotMeasured."""
+    """Evaluates at the largest size, up to the target size, at which all used quantities were measured.
+
+    Returns the value and that size. Raises NotMeasured.
+    """
     sizes = {"gateways": target_size()[0], "engines": target_size()[1]}
-    for use in used_keys:
-        with suppress(NotMeasured):  # another was taken in its place
-            sizes[use.grows_with] = min(sizes[use.grows_with], max(fit_cache.fit(use).sizes))
-    at = sizes["gateways"], sizes["engines"]
-    return evaluate(EvaluationPoint(*at, fit_cache)), at
+    for key in used_keys:
+        with suppress(NotMeasured):  # the row used another quantity instead
+            sizes[key.grows_with] = min(sizes[key.grows_with], max(fit_cache.fit(key).sizes))
+    size = sizes["gateways"], sizes["engines"]
+    return evaluate(EvaluationPoint(*size, fit_cache)), size
 
 
 def is_extrapolated(point: EvaluationPoint) -> bool:
-    """Whether the size is greater than any at which something was taken that was asked for at it."""
-    for use in point.used_keys:
-        with suppress(NotMeasured):  # another was taken in its place
-            if max(point.fit_cache.fit(use).sizes) < getattr(point, use.grows_with):
+    """Whether the point is larger than all measured sizes of a quantity that was used at it."""
+    for key in point.used_keys:
+        with suppress(NotMeasured):  # the row used another quantity instead
+            if max(point.fit_cache.fit(key).sizes) < getattr(point, key.grows_with):
                 return True
     return False
 
 
 def evaluate_row(row: Row, fit_cache: FitCache, size: tuple[float, float] | None = None) -> RowResult:
-    at = EvaluationPoint(*(size or target_size()), fit_cache)
+    """Evaluates a row at a size, by default the target size, and finds where its budget is exceeded."""
+    point = EvaluationPoint(*(size or target_size()), fit_cache)
     try:
-        value = row.evaluate(at)
-        where = find_crossing(row, fit_cache) if row.budget is not None else None
+        value = row.evaluate(point)
+        crossing = find_crossing(row, fit_cache) if row.budget is not None else None
     except NotMeasured as error:
-        return RowResult(row, None, str(error), None, tuple(at.used_keys))
-    return RowResult(row, value, "", where, tuple(at.used_keys), is_extrapolated(at))
+        return RowResult(row, None, str(error), None, tuple(point.used_keys))
+    return RowResult(row, value, "", crossing, tuple(point.used_keys), is_extrapolated(point))
 
 
-# --- The ranking.
+# --- Ranking of candidates.
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A mechanism that is missing, the rows that it would carry, and why it would."""
+    """A mechanism that does not exist yet, with the rows that it would bring within their budgets."""
 
     name: str
-    resolves: Mapping[str, str]  # a row's key: the reason
-    eases: Mapping[str, str]  # the same, of rows that it eases; they are not counted
-    sources: str  # published ones
+    resolves: Mapping[str, str]  # row key: why it would
+    eases: Mapping[str, str]  # the same for rows that it only improves; these are not counted
+    sources: str  # publications that describe the mechanism
 
 
 @dataclass(frozen=True, slots=True)
 class RankedCandidate:
+    """A candidate with the failing rows that it resolves."""
+
     candidate: Candidate
-    first_failing: RowResult  # of the failing rows that it carries, the one that fails at the smallest size
-    failing: tuple[RowResult, ...]  # all of them, the first to fail first
+    first_failing: RowResult  # the row that fails at the smallest size
+    failing: tuple[RowResult, ...]  # by the size at which they fail
 
     @property
     def growth_progress(self) -> float:
@@ -395,32 +420,41 @@
 
 
 def failing_rows(row_results: Sequence[RowResult]) -> list[RowResult]:
-    """Rows whose budget is passed on the way to the size that is coming, the first ones first; rows that fail
-    at today's size already are equals and stay in the table's order. Sums, and what a setting mends, are left
-    out: a mechanism would count twice by the first and for nothing by the second."""
-    late = [f for f in row_results if f.crossing is not None and f.crossing.growth_progress <= 1.0]
-    late = [f for f in late if f.crossing is not None and f.crossing.is_certain]
-    late = [f for f in late if not f.row.is_total and not f.row.remedy]
-    return sorted(late, key=lambda f: f.crossing.growth_progress if f.crossing is not None else math.inf)
+    """Rows that exceed their budget at the target size or below, by the size at which they do.
+
+    Rows that fail at the current size already are equal and keep their order. Totals are left out because a
+    mechanism would count twice, rows with a remedy because no mechanism is needed.
+    """
+    failing = [
+        result
+        for result in row_results
+        if result.crossing is not None and result.crossing.growth_progress <= 1.0
+    ]
+    failing = [result for result in failing if result.crossing is not None and result.crossing.is_certain]
+    failing = [result for result in failing if not result.row.is_total and not result.row.remedy]
+    return sorted(
+        failing,
+        key=lambda result: result.crossing.growth_progress if result.crossing is not None else math.inf,
+    )
 
 
 def rank_candidates(
     row_results: Sequence[RowResult], candidates: Sequence[Candidate]
 ) -> list[RankedCandidate]:
-    """By the smallest size at which a row that it carries fails; of equals, who carries more failing rows."""
-    late = failing_rows(row_results)
-    ranks = []
+    """Ranks candidates by the size at which the first row they resolve fails, then by the number of rows."""
+    failing = failing_rows(row_results)
+    ranked = []
     for candidate in candidates:
-        carried = tuple(f for f in late if f.row.key in candidate.resolves)
-        if carried:
-            ranks.append(RankedCandidate(candidate, carried[0], carried))
-    return sorted(ranks, key=lambda rank: (rank.growth_progress, -len(rank.failing)))
+        resolved = tuple(result for result in failing if result.row.key in candidate.resolves)
+        if resolved:
+            ranked.append(RankedCandidate(candidate, resolved[0], resolved))
+    return sorted(ranked, key=lambda entry: (entry.growth_progress, -len(entry.failing)))
 
 
-# --- Paces that several rows share.
+# --- Rates that several rows share.
 
 
 @cache
 def daily_rate_per_s(name: str) -> float:
-    """An input counted a day, a second of it in the mean."""
-    return inputs.input_value(name) / 86_400
+    """The mean rate per second of an input that is counted per day."""
+    return inputs.input_value(name) / SECONDS_PER_DAY
--- a/whintrail/scale/page.py
+++ b/whintrail/scale/page.py
@@ -1,5 +1,8 @@
-"""`whintrail scale report` and `check`: the tables of docs/CAPACITY.md from docs/capacity/*.json, and budgets
-held against them."""
+"""`whintrail scale report` and `whintrail scale check`.
+
+`report` writes the tables of docs/CAPACITY.md from the files in docs/capacity/; `check` compares the measured
+values with their budgets.
+"""
 
 import ast
 import math
@@ -27,27 +30,31 @@
 from whintrail.scale.tables import Prediction, PredictionFile
 
 ROOT = Path(__file__).parents[2]
-CAPACITY_PAGE, RESULTS_FOLDER = ROOT / "docs" / "CAPACITY.md", ROOT / "docs" / "capacity"
-PREDICTIONS_FILE, CODE_LOCATIONS_FILE, CALCULATED_FILE = "foretold.json", "places.json", "reckoned.json"
+CAPACITY_PAGE = ROOT / "docs" / "CAPACITY.md"
+RESULTS_FOLDER = ROOT / "docs" / "capacity"
+PREDICTIONS_FILE = "foretold.json"
+CODE_LOCATIONS_FILE = "places.json"
+CALCULATED_FILE = "reckoned.json"
 GENERATED_FILES = (PREDICTIONS_FILE, CODE_LOCATIONS_FILE, CALCULATED_FILE)
 TABLE_MARKER = re.compile(r"(<!-- table (?P<name>[a-z-]+) -->\n)(?P<table>.*?)(<!-- end -->)", re.DOTALL)
 
 
 class PageError(ValueError):
-    """The page's markers don't name the tables that there are."""
+    """The markers of the page don't match the tables, or a code path doesn't resolve."""
 
 
 # --- Files.
 
 
 def read_results(folder: Path) -> dict[str, Results]:
-    """All files of results, by name, those under before/ too. Errors: ResultsError."""
+    """Reads all results files by name, including those under before/. Raises ResultsError."""
     paths = {path.name: path for path in sorted(folder.glob("*.json")) if path.name not in GENERATED_FILES}
     paths |= {f"before/{path.name}": path for path in sorted(folder.glob("before/*.json"))}
     return {name: load_results(path) for name, path in paths.items()}
 
 
 def read_predictions(folder: Path) -> list[Prediction]:
+    """Reads the predictions written so far. Raises ResultsError."""
     path = folder / PREDICTIONS_FILE
     if not path.exists():
         return []
@@ -58,6 +65,7 @@
 
 
 def read_code_locations(folder: Path) -> dict[str, str]:
+    """Reads where each code path was found by the last report."""
     path = folder / CODE_LOCATIONS_FILE
     return msgspec.json.decode(path.read_bytes(), type=dict[str, str]) if path.exists() else {}
 
@@ -67,51 +75,60 @@
 
 
 def find_code_locations(root: Path, code_paths: Sequence[str]) -> dict[str, str]:
-    """`file:Name.of` with the lines that it has there. Errors: PageError where there is no such name."""
-    found = {}
-    for place in code_paths:
-        file, _, name = place.partition(":")
+    """Finds the lines of code paths (`file.py:Class.method`). Raises PageError if one doesn't resolve."""
+    locations = {}
+    for code_path in code_paths:
+        file, _, name = code_path.partition(":")
         node: ast.AST = ast.parse((root / file).read_text())
         for part in name.split("."):
             body: list[ast.stmt] = getattr(node, "body", [])
-            inner = [n for n in body if isinstance(n, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef)]
-            match = [n for n in inner if n.name == part]
-            if not match:
-                raise PageError(f"{place}: no {part} there")
-            node = match[-1]
+            definitions = [
+                child
+                for child in body
+                if isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef)
+            ]
+            matches = [child for child in definitions if child.name == part]
+            if not matches:
+                raise PageError(f"{code_path}: {part} is not defined there")
+            node = matches[-1]
         assert isinstance(node, ast.stmt)
-        found[place] = f"{file}:{node.lineno}-{node.end_lineno} {name}"
-    return found
+        locations[code_path] = f"{file}:{node.lineno}-{node.end_lineno} {name}"
+    return locations
 
 
 # --- The page.
 
 
 def fill_tables(page: str, tables_by_name: Mapping[str, str]) -> str:
-    """The page with its tables in place. Errors: PageError where the page and the tables don't match."""
+    """Replaces the tables of the page. Raises PageError if its markers and the tables don't match."""
     names = [match["name"] for match in TABLE_MARKER.finditer(page)]
     if sorted(names) != sorted(tables_by_name):
-        raise PageError(f"the page has tables {sorted(names)}, and there are {sorted(tables_by_name)}")
-    return TABLE_MARKER.sub(lambda m: m[1] + "\n" + tables_by_name[m["name"]] + "\n\n" + m[4], page)
+        raise PageError(
+            f"the page has markers for {sorted(names)}, but the tables are {sorted(tables_by_name)}"
+        )
+    return TABLE_MARKER.sub(
+        lambda match: match[1] + "\n" + tables_by_name[match["name"]] + "\n\n" + match[4], page
+    )
 
 
 def changed_lines(before: str, after: str) -> list[str]:
-    """Lines of the new page that the old one has not."""
+    """Lines of the new page that are not in the old one."""
     known = set(before.splitlines())
     return [line for line in after.splitlines() if line not in known]
 
 
 def all_code_paths() -> list[str]:
+    """The code paths that the rows name."""
     return sorted({row.code_path for row in (*rows.ROWS, *rows.SUBSET_ROWS) if row.code_path})
 
 
 def calculated_samples(results: Mapping[str, Results]) -> list[Sample]:
-    """Every row and fact that could be reckoned, at today's size, half way and the size that is coming."""
-    figures, found = FitCache(tables.samples_to_fit(results)), list[Sample]()
-    for way in (0.0, 0.5, 1.0):
-        gateways, engines = capacity.size_at_progress(way)
-        for key, unit, value in _calculated_values(figures, (gateways, engines)):
-            found.append(
+    """All rows and facts with a value, at the current size, half way and the target size."""
+    fit_cache, samples = FitCache(tables.samples_to_fit(results)), list[Sample]()
+    for progress in (0.0, 0.5, 1.0):
+        gateways, engines = capacity.size_at_progress(progress)
+        for key, unit, value in _calculated_values(fit_cache, (gateways, engines)):
+            samples.append(
                 Sample(
                     quantity=key,
                     unit=unit,
@@ -124,55 +141,63 @@
                     kind="reckoned",
                 )
             )
-    return found
+    return samples
 
 
 def _calculated_values(
     fit_cache: FitCache, size: tuple[float, float]
 ) -> list[tuple[str, str, capacity.Estimate]]:
-    found = []
+    """Key, unit and value of each row and fact with a finite value at a size."""
+    values = []
     for row in rows.ROWS:
         if (value := capacity.evaluate_row(row, fit_cache, size).value) is not None and math.isfinite(
             value.high
         ):
-            found.append((row.key, row.unit, value))
+            values.append((row.key, row.unit, value))
     for fact in rates.FACTS:
         if (value := rates.reckon(fact, fit_cache, size).value) is not None and math.isfinite(value.high):
-            found.append((fact.key, fact.unit, value))
-    return found
+            values.append((fact.key, fact.unit, value))
+    return values
 
 
 # --- Predictions.
 
 
 def find_dimension(quantity: str, samples: Sequence[Sample]) -> Grows:
-    """Over which size it was taken. Errors: click.ClickException."""
+    """Finds the dimension over which the page uses a quantity. Raises click.ClickException if it doesn't."""
     for row in rows.ROWS:
-        for use in capacity.evaluate_row(row, FitCache(samples)).used_keys:
-            if use.quantity == quantity:
-                return use.grows_with
+        for key in capacity.evaluate_row(row, FitCache(samples)).used_keys:
+            if key.quantity == quantity:
+                return key.grows_with
     raise click.ClickException(f"no row of the page uses {quantity}")
 
 
 def predict(samples: Sequence[Sample], wanted: Sample, dimension: Grows, now_s: float) -> Prediction:
-    """The figure at a size that no file has yet; `like` names it. Errors: ValueError."""
-    known = [
-        s
-        for s in samples
-        if (s.kind, s.role, s.subset, s.note) == (wanted.kind, wanted.role, wanted.subset, wanted.note)
+    """Predicts a value at a size that was not measured yet.
+
+    `wanted` names the quantity, size and kind. Raises ValueError if it was measured or cannot be predicted.
+    """
+    similar_samples = [
+        sample
+        for sample in samples
+        if (sample.kind, sample.role, sample.subset, sample.note)
+        == (wanted.kind, wanted.role, wanted.subset, wanted.note)
     ]
-    x = getattr(wanted, dimension)
-    if any(s.quantity == wanted.quantity and getattr(s, dimension) == x for s in known):
-        raise ValueError(f"{wanted.quantity} at {x} {dimension} was measured already")
-    use = MeasurementKey(wanted.quantity, dimension, wanted.kind, wanted.role, wanted.note)
+    size = getattr(wanted, dimension)
+    if any(
+        sample.quantity == wanted.quantity and getattr(sample, dimension) == size
+        for sample in similar_samples
+    ):
+        raise ValueError(f"{wanted.quantity} at {size} {dimension} was measured already")
+    key = MeasurementKey(wanted.quantity, dimension, wanted.kind, wanted.role, wanted.note)
     try:
-        found = FitCache(known, subset=wanted.subset).fit(use)
+        fit = FitCache(similar_samples, subset=wanted.subset).fit(key)
     except capacity.NotMeasured as error:
-        raise ValueError(f"{wanted.quantity}: no two sizes to foretell it from") from error
-    value, low, high = found.at(x)
+        raise ValueError(f"{wanted.quantity}: a prediction needs samples at two sizes") from error
+    value, low, high = fit.at(size)
     return Prediction(
         quantity=wanted.quantity,
-        unit=found.unit,
+        unit=fit.unit,
         gateways=wanted.gateways,
         engines=wanted.engines,
         value=value,
@@ -182,8 +207,8 @@
         role=wanted.role,
         subset=wanted.subset,
         note=wanted.note,
-        sizes=found.sizes,
-        form=found.form,
+        sizes=fit.sizes,
+        form=fit.form,
         commit=current_commit(),
         written_at=time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(now_s)),
     )
@@ -193,47 +218,55 @@
 
 
 def write_plots(samples: Sequence[Sample], folder: Path) -> list[Path]:
-    """Each quantity of the page over its sizes, with its fit and range; the files written."""
+    """Plots each quantity of the page over its sizes, with fit and range. Returns the written files."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figures, made = FitCache(samples), list[Path]()
-    uses = dict.fromkeys(use for row in rows.ROWS for use in capacity.evaluate_row(row, figures).used_keys)
+    fit_cache, paths = FitCache(samples), list[Path]()
+    keys = dict.fromkeys(key for row in rows.ROWS for key in capacity.evaluate_row(row, fit_cache).used_keys)
     folder.mkdir(parents=True, exist_ok=True)
-    for use in uses:
+    for key in keys:
         try:
-            found = figures.fit(use)
+            fit = fit_cache.fit(key)
         except capacity.NotMeasured:
             continue
-        made.append(
+        paths.append(
             folder
-            / f"{use.quantity}{'-' + use.role if use.role else ''}{'-high' if use.stat == 'high' else ''}.png"
+            / f"{key.quantity}{'-' + key.role if key.role else ''}{'-high' if key.stat == 'high' else ''}.png"
         )
-        _write_plot(pyplot, samples, use, found, made[-1])
-    return made
+        _write_plot(pyplot, samples, key, fit, paths[-1])
+    return paths
 
 
 def _write_plot(pyplot: object, samples: Sequence[Sample], key: MeasurementKey, fit: Fit, path: Path) -> None:
-    given = {"kind": key.kind, "role": key.role, "note": key.note, "day": key.day}
-    here = selected(samples, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
-    xs = [getattr(s, key.grows_with) for s in here]
-    drawn, axes = pyplot.subplots(figsize=(6, 4))  # type: ignore[attr-defined]
-    ys = [s.high if key.stat == "high" else s.value for s in here]
-    axes.plot(xs, ys, "o", color="C0", label="measured")
-    most = capacity.target_size()[1 if key.grows_with == "engines" else 0]
-    line = [max(1.0, min(xs)) * (most / max(1.0, min(xs))) ** (place / 60) for place in range(61)]
-    values = [fit.at(x) for x in line]
-    floor = max(1e-12, min(ys)) / 10  # a range that reaches below 0 has no place on a logarithmic axis
-    axes.plot(line, [v[0] for v in values], color="C1", label=fit.form)
-    axes.fill_between(line, [max(floor, v[1]) for v in values], [v[2] for v in values], color="C1", alpha=0.2)
+    selection = {"kind": key.kind, "role": key.role, "note": key.note, "day": key.day}
+    selected_samples = selected(samples, key.quantity, key.grows_with, **selection)  # type: ignore[arg-type]
+    sizes = [getattr(sample, key.grows_with) for sample in selected_samples]
+    figure, axes = pyplot.subplots(figsize=(6, 4))  # type: ignore[attr-defined]
+    values = [sample.high if key.stat == "high" else sample.value for sample in selected_samples]
+    axes.plot(sizes, values, "o", color="C0", label="measured")
+    target_size = capacity.target_size()[1 if key.grows_with == "engines" else 0]
+    curve_sizes = [
+        max(1.0, min(sizes)) * (target_size / max(1.0, min(sizes))) ** (step / 60) for step in range(61)
+    ]
+    curve = [fit.at(x) for x in curve_sizes]
+    floor = max(1e-12, min(values)) / 10  # a logarithmic axis shows no values below 0
+    axes.plot(curve_sizes, [point[0] for point in curve], color="C1", label=fit.form)
+    axes.fill_between(
+        curve_sizes,
+        [max(floor, point[1]) for point in curve],
+        [point[2] for point in curve],
+        color="C1",
+        alpha=0.2,
+    )
     axes.set(xscale="log", yscale="log", xlabel=key.grows_with, ylabel=f"{key.quantity} ({fit.unit})")
     axes.legend()
     axes.grid(alpha=0.3)
-    drawn.tight_layout()
-    drawn.savefig(path, dpi=110)
-    pyplot.close(drawn)  # type: ignore[attr-defined]
+    figure.tight_layout()
+    figure.savefig(path, dpi=110)
+    pyplot.close(figure)  # type: ignore[attr-defined]
 
 
 # --- Commands.
@@ -243,11 +276,12 @@
     "folder",
     type=click.Path(path_type=Path, file_okay=False),
     default=RESULTS_FOLDER,
-    help="Files of results.",
+    help="Folder of results files.",
 )
 
 
 def _read_results_or_exit(folder: Path) -> dict[str, Results]:
+    """As `read_results`, with errors for the command line."""
     try:
         return read_results(folder)
     except ResultsError as error:
@@ -257,33 +291,42 @@
 @click.command()
 @folder_option
 @click.option(
-    "--page", type=click.Path(path_type=Path, dir_okay=False), default=CAPACITY_PAGE, help="The page."
+    "--page", type=click.Path(path_type=Path, dir_okay=False), default=CAPACITY_PAGE, help="Page to update."
 )
 @click.option(
-    "--plots", type=click.Path(path_type=Path, file_okay=False), help="Write plots here (needs matplotlib)."
+    "--plots",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Folder to write plots to (needs matplotlib).",
 )
 @click.option(
     "--foretell",
-    "told",
+    "predicted_quantities",
     metavar="QUANTITY",
     multiple=True,
-    help="Write predictions before their run, and nothing else.",
+    help="Only write a prediction of this quantity, before its run.",
 )
-@click.option("--gateways", type=click.IntRange(0), help="Of the prediction.")
-@click.option("--engines", type=click.IntRange(0), help="Of the prediction; 0 where it plays no part.")
+@click.option("--gateways", type=click.IntRange(0), help="Gateways of the prediction.")
 @click.option(
-    "--kind", default="core", show_default=True, help="Of the prediction: core, hollow, real, simulated."
+    "--engines",
+    type=click.IntRange(0),
+    help="Engines of the prediction; 0 if the quantity doesn't depend on them.",
 )
-@click.option("--role", default="gateway", show_default=True, help="Of the prediction.")
 @click.option(
-    "--subset", default=0, show_default=True, help="Of the prediction: engines that a gateway keeps."
+    "--kind", default="core", show_default=True, help="Kind of the prediction: core, hollow, real, simulated."
 )
-@click.option("--note", default="", help="Of the prediction: the samples' note.")
+@click.option("--role", default="gateway", show_default=True, help="Role of the prediction.")
+@click.option(
+    "--subset",
+    default=0,
+    show_default=True,
+    help="Engines that each gateway keeps in the prediction; 0: all.",
+)
+@click.option("--note", default="", help="Note of the samples that are predicted.")
 def report(
     folder: Path,
     page: Path,
     plots: Path | None,
-    told: tuple[str, ...],
+    predicted_quantities: tuple[str, ...],
     gateways: int | None,
     engines: int | None,
     kind: str,
@@ -291,7 +334,7 @@
     subset: int,
     note: str,
 ) -> None:
-    """Write the tables of docs/CAPACITY.md from the files of results; print the lines that changed.
+    """Write the tables of docs/CAPACITY.md from the results files and print the lines that changed.
 
     \b
     Examples:
@@ -299,35 +342,38 @@
       whintrail scale report --plots plots
       whintrail scale report --foretell list_line_bytes --gateways 200 --engines 10000
     """
-    began, machine = time.time(), current_machine()
+    started_at_s, machine = time.time(), current_machine()
     results = _read_results_or_exit(folder)
-    if told:
+    if predicted_quantities:
         if gateways is None or engines is None:
             raise click.UsageError("--foretell needs --gateways and --engines")
-        given = {"kind": kind, "role": role, "subset": subset, "note": note}
+        selection = {"kind": kind, "role": role, "subset": subset, "note": note}
         size = {"gateways": gateways, "engines": engines}
-        _write_predictions(results, folder, told, size | given, began)
+        _write_predictions(results, folder, predicted_quantities, size | selection, started_at_s)
         return
     try:
-        places = find_code_locations(ROOT, all_code_paths())
-        made = tables.render_tables(results, read_predictions(folder), places)
-        before = page.read_text()
-        after = fill_tables(before, made)
+        code_locations = find_code_locations(ROOT, all_code_paths())
+        tables_by_name = tables.render_tables(results, read_predictions(folder), code_locations)
+        old_page = page.read_text()
+        new_page = fill_tables(old_page, tables_by_name)
     except (OSError, PageError, ResultsError) as error:
         raise click.ClickException(str(error)) from error
-    _write_json(folder / CODE_LOCATIONS_FILE, places)
-    found = calculated_samples(results)
-    if not (folder / CALCULATED_FILE).exists() or load_results(folder / CALCULATED_FILE).samples != found:
+    _write_json(folder / CODE_LOCATIONS_FILE, code_locations)
+    calculated = calculated_samples(results)
+    if (
+        not (folder / CALCULATED_FILE).exists()
+        or load_results(folder / CALCULATED_FILE).samples != calculated
+    ):
         save_results(
             folder / CALCULATED_FILE,
             "whintrail scale report",
-            began,
+            started_at_s,
             machine,
-            found,
+            calculated,
             "from the other files here",
         )
-    page.write_text(after)
-    for line in changed_lines(before, after):
+    page.write_text(new_page)
+    for line in changed_lines(old_page, new_page):
         click.echo(line)
     if plots is not None:
         for path in write_plots(tables.samples_to_fit(results), plots):
@@ -338,23 +384,24 @@
     results: Mapping[str, Results],
     folder: Path,
     quantities: Sequence[str],
-    given: Mapping[str, object],
+    selection: Mapping[str, object],
     now_s: float,
 ) -> None:
-    samples = [s for r in results.values() for s in r.samples]
-    blank = {"unit": "", "value": 0.0, "low": 0.0, "high": 0.0, "n": 1}
-    made = []
+    samples = [sample for file_results in results.values() for sample in file_results.samples]
+    placeholders = {"unit": "", "value": 0.0, "low": 0.0, "high": 0.0, "n": 1}
+    predictions = []
     try:
         for name in quantities:
-            like = msgspec.convert({"quantity": name, **blank, **given}, Sample)
-            made.append(predict(samples, like, find_dimension(name, samples), now_s))
+            wanted = msgspec.convert({"quantity": name, **placeholders, **selection}, Sample)
+            predictions.append(predict(samples, wanted, find_dimension(name, samples), now_s))
     except ValueError as error:
         raise click.ClickException(str(error)) from error
-    _write_json(folder / PREDICTIONS_FILE, PredictionFile(predictions=[*read_predictions(folder), *made]))
-    for p in made:
-        click.echo(
-            f"{p.quantity}: {tables.format_estimate(capacity.Estimate(p.value, p.low, p.high), p.unit)}"
-        )
+    _write_json(
+        folder / PREDICTIONS_FILE, PredictionFile(predictions=[*read_predictions(folder), *predictions])
+    )
+    for prediction in predictions:
+        estimate = capacity.Estimate(prediction.value, prediction.low, prediction.high)
+        click.echo(f"{prediction.quantity}: {tables.format_estimate(estimate, prediction.unit)}")
 
 
 @click.command()
@@ -362,37 +409,44 @@
 @click.option("--gateways", type=click.IntRange(1), default=int(capacity.target_size()[0]), show_default=True)
 @click.option("--engines", type=click.IntRange(1), default=int(capacity.target_size()[1]), show_default=True)
 @click.option("--subset", default=0, show_default=True, help="Engines that each gateway keeps; 0: all.")
-@click.option("--all", "every", is_flag=True, help="Rows that hold, and rows that were not measured, too.")
+@click.option(
+    "--all", "show_all", is_flag=True, help="Also show rows within their budget and rows not measured."
+)
 @format_option
-def check(folder: Path, gateways: int, engines: int, subset: int, every: bool, form: str) -> None:
-    """Hold every budget against the results at a size; exit status 1 where one is passed.
+def check(folder: Path, gateways: int, engines: int, subset: int, show_all: bool, form: str) -> None:
+    """Compare the measured values with their budgets at a size; exit with status 1 if one is exceeded.
 
     \b
     Examples:
-      whintrail scale check                                 at the size that is coming
-      whintrail scale check --gateways 200 --engines 80     at today's
+      whintrail scale check                                 at the target size
+      whintrail scale check --gateways 200 --engines 80     at the current size
     """
-    figures = FitCache(tables.samples_to_fit(_read_results_or_exit(folder)), subset=subset)
+    fit_cache = FitCache(tables.samples_to_fit(_read_results_or_exit(folder)), subset=subset)
     size = float(gateways), float(engines)
-    held = [
-        f
-        for f in (capacity.evaluate_row(row, figures, size) for row in rows.ROWS)
-        if f.row.budget is not None
+    results = [
+        result
+        for result in (capacity.evaluate_row(row, fit_cache, size) for row in rows.ROWS)
+        if result.row.budget is not None
     ]
-    shown = [f for f in held if every or f.is_exceeded]
+    shown = [result for result in results if show_all or result.is_exceeded]
     print_rows(
-        (_verdict_row(f) for f in shown), ("row", "role", "value", "budget", "unit", "used", "verdict"), form
+        (_verdict_row(result) for result in shown),
+        ("row", "role", "value", "budget", "unit", "used", "verdict"),
+        form,
     )
-    passed, unknown = sum(f.is_exceeded for f in held), sum(f.value is None for f in held)
+    exceeded_count = sum(result.is_exceeded for result in results)
+    unknown_count = sum(result.value is None for result in results)
     click.echo(
-        f"{passed} of {len(held)} budgets passed, {unknown} not measured, at {gateways} and {engines}",
+        f"{exceeded_count} of {len(results)} budgets exceeded, {unknown_count} not measured,"
+        f" at {gateways} gateways and {engines} engines",
         err=True,
     )
-    if passed:
+    if exceeded_count:
         raise click.exceptions.Exit(1)
 
 
 def _verdict_row(row_result: RowResult) -> dict[str, object]:
+    """A row of the command's output."""
     verdict = (
         "not measured: " + row_result.missing
         if row_result.value is None
@@ -408,11 +462,11 @@
     ):
         verdict = "not told" if row_result.value.high > row_result.row.budget else "holds"
     value = row_result.value.value if row_result.value is not None else None
-    shown: dict[str, object] = {
+    columns: dict[str, object] = {
         "row": row_result.row.key,
         "role": row_result.row.role,
         "value": value,
         "budget": row_result.row.budget,
         "unit": row_result.row.unit,
     }
-    return shown | {"used": row_result.budget_share, "verdict": verdict}
+    return columns | {"used": row_result.budget_share, "verdict": verdict}
--- a/whintrail/scale/rows.py
+++ b/whintrail/scale/rows.py
@@ -1,5 +1,9 @@
-"""The table by role as data: each row's slope x what it grows with, its budget, and what carries it
-today. Pure."""
+"""The rows of the capacity table by role: how each value grows, its budget, and the code that causes it.
+
+Quantity names, row keys and row texts also stand in docs/capacity/*.json and docs/CAPACITY.md, and some use
+older terms: a "memo" is a datagram of probe reports between gateways, "told" is what the leader broadcasts,
+the "module" is the routing policy, a "part" is the subset of engines that a gateway keeps. Does no I/O.
+"""
 
 import math
 
@@ -16,12 +20,17 @@
 )
 from whintrail.interface import LoadReport
 from whintrail.scale.capacity import Estimate, EvaluationPoint, NotMeasured, Row, daily_rate_per_s, exact
-from whintrail.scale.inputs import input_value as given
+from whintrail.scale.inputs import input_value
 
 MB = 1 << 20
-DATA_PATH_ROLE, CONTROL_ROLE, ENGINE_ROLE = "gateway, data path", "gateway, control", "engine"
-COUNCIL_MEMBER_ROLE, LEADER_ROLE = "council: member", "council: leader"
-BULLETIN_ROLE, CONTROL_MACHINE_ROLE, COMMAND_ROLE = "bulletin", "control machine", "operator's command"
+DATA_PATH_ROLE = "gateway, data path"
+CONTROL_ROLE = "gateway, control"
+ENGINE_ROLE = "engine"
+COUNCIL_MEMBER_ROLE = "council: member"
+LEADER_ROLE = "council: leader"
+BULLETIN_ROLE = "bulletin"
+CONTROL_MACHINE_ROLE = "control machine"
+COMMAND_ROLE = "operator's command"
 ROLES = (
     DATA_PATH_ROLE,
     CONTROL_ROLE,
@@ -34,28 +43,28 @@
 )
 
 CHANGES_PER_S = daily_rate_per_s("changes_a_day")
-CONTROL_CPU_BUDGET, CONTROL_BYTES_PER_S_BUDGET, CONTROL_MEMORY_BUDGET_BYTES = (
-    given("control_cpu"),
-    given("control_bytes_per_s"),
-    given("control_memory_mb") * MB,
-)
-IN_FORCE_BUDGET_S, PRIMARY_CHANGE_BUDGET_S = given("in_force_s"), given("primary_change_s")
-REBROADCASTS_PER_ENTRY, ENTRIES_PER_CHANGE, LEASE_REQUESTS_PER_S = (
-    given("retells"),
-    given("entry_commands"),
-    given("lease_asks_per_s"),
-)
-ANSWER_SLACK_MS = given("answer_slack_ms")
-STATEMENTS_PER_GATEWAY_PER_S = given("statements_per_s") / given("gateways")  # a gateway, in the mean
-CLIENTS_PER_GATEWAY = given("client_connections") / given("gateways")
+CONTROL_CPU_BUDGET = input_value("control_cpu")
+CONTROL_BYTES_PER_S_BUDGET = input_value("control_bytes_per_s")
+CONTROL_MEMORY_BUDGET_BYTES = input_value("control_memory_mb") * MB
+IN_FORCE_BUDGET_S = input_value("in_force_s")
+PRIMARY_CHANGE_BUDGET_S = input_value("primary_change_s")
+REBROADCASTS_PER_ENTRY = input_value("retells")
+ENTRIES_PER_CHANGE = input_value("entry_commands")
+LEASE_REQUESTS_PER_S = input_value("lease_asks_per_s")
+ANSWER_SLACK_MS = input_value("answer_slack_ms")
+STATEMENTS_PER_GATEWAY_PER_S = input_value("statements_per_s") / input_value("gateways")  # mean
+CLIENTS_PER_GATEWAY = input_value("client_connections") / input_value("gateways")
 
 
 def datagram_bytes(message: AnyMessage) -> float:
-    """Bytes on the wire, encoded as the program does, with the heads of IPv4 and UDP."""
-    return len(encode(0xFFFFFFFF, 0xFFF, 0xFFFFFFFF, 0xFFFFFFFF, message)) + given("datagram_overhead")
+    """Bytes of a message on the wire, encoded as the program does, with the headers of IPv4 and UDP."""
+    return len(encode(0xFFFFFFFF, 0xFFF, 0xFFFFFFFF, 0xFFFFFFFF, message)) + input_value("datagram_overhead")
 
 
-LARGE_U32, LARGE_U64, LARGE_EPOCH = 0xFFFFFFF0, (1 << 62) - 1, 1 << 33
+# Sample values with a long encoding.
+LARGE_U32 = 0xFFFFFFF0
+LARGE_U64 = (1 << 62) - 1
+LARGE_EPOCH = 1 << 33
 LEASE_REQUEST_BYTES = datagram_bytes(LeaseRequest(LARGE_U32, LARGE_U32, False, LARGE_U64, ""))
 LEASE_REPLY_BYTES = datagram_bytes(LeaseReply(LARGE_U32, LARGE_U32, False, 1200))
 SETTLE_ENTRY_BYTES = datagram_bytes(
@@ -77,167 +86,197 @@
 )
 PROBE_REPORT_BYTES = len(
     probe_reports.encode([probe_reports.ProbeReport(0, 0, LoadReport(0.5, 1, 0, 0.5))])
-) + given("datagram_overhead")
-CHANGE_BROADCAST_BYTES = (
-    PROPOSE_ENTRY_BYTES + (ENTRIES_PER_CHANGE - 1) * SETTLE_ENTRY_BYTES
-)  # the entries of one change of settings, told once
+) + input_value("datagram_overhead")
+# All log entries of one change of settings, broadcast once to one gateway.
+CHANGE_BROADCAST_BYTES = PROPOSE_ENTRY_BYTES + (ENTRIES_PER_CHANGE - 1) * SETTLE_ENTRY_BYTES
 
 
 def cpu_share(duration_us: Estimate, times_per_s: float) -> Estimate:
-    """Of one core, of something that takes so many microseconds."""
+    """The share of one core that is used by an operation of this duration at this rate."""
     return duration_us * (times_per_s / 1e6)
 
 
 # --- Gateway, data path.
 
 
-def _links_per_gateway(s: EvaluationPoint) -> Estimate:
-    """Engines that statements drawn evenly reach within the time that an idle link is kept."""
-    drawn = STATEMENTS_PER_GATEWAY_PER_S * given("keepalive_s")
-    if s.fit_cache.subset:  # of those that it keeps
-        return s.estimate("part_engines_free", "engines")
-    return exact(s.engines * -math.expm1(-drawn / s.engines))
+def _links_per_gateway(point: EvaluationPoint) -> Estimate:
+    """Engines that evenly distributed statements reach within the idle timeout of a link."""
+    statements_per_timeout = STATEMENTS_PER_GATEWAY_PER_S * input_value("keepalive_s")
+    if point.fit_cache.subset:  # only engines in the subset get links
+        return point.estimate("part_engines_free", "engines")
+    return exact(point.engines * -math.expm1(-statements_per_timeout / point.engines))
 
 
-def _statement_cpu(s: EvaluationPoint) -> Estimate:
-    each = s.estimate("query_marginal_cpu_us", "engines", kind="real")
-    return cpu_share(each, STATEMENTS_PER_GATEWAY_PER_S * given("peak_over_mean"))
+def _statement_cpu(point: EvaluationPoint) -> Estimate:
+    per_statement = point.estimate("query_marginal_cpu_us", "engines", kind="real")
+    return cpu_share(per_statement, STATEMENTS_PER_GATEWAY_PER_S * input_value("peak_over_mean"))
 
 
-def _routing_cpu(s: EvaluationPoint) -> Estimate:
-    each = s.estimate("module_query_us", "engines") + s.estimate("module_ended_us", "engines")
-    return cpu_share(each, STATEMENTS_PER_GATEWAY_PER_S)
+def _routing_cpu(point: EvaluationPoint) -> Estimate:
+    per_statement = point.estimate("module_query_us", "engines") + point.estimate(
+        "module_ended_us", "engines"
+    )
+    return cpu_share(per_statement, STATEMENTS_PER_GATEWAY_PER_S)
 
 
-def _full_list_ms(s: EvaluationPoint) -> Estimate:
-    read = s.estimate("list_read_whole_us", "engines") + s.estimate("gateway_update_whole_us", "engines")
-    return (read + s.estimate("module_list_whole_us", "engines")) * 1e-3
+def _full_list_ms(point: EvaluationPoint) -> Estimate:
+    read_and_update = point.estimate("list_read_whole_us", "engines") + point.estimate(
+        "gateway_update_whole_us", "engines"
+    )
+    return (read_and_update + point.estimate("module_list_whole_us", "engines")) * 1e-3
 
 
-def _list_event_us(s: EvaluationPoint) -> Estimate:
-    read = s.estimate("list_read_delta_us", "engines") + s.estimate("gateway_update_delta_us", "engines")
-    return read + s.estimate("module_list_delta_us", "engines")
+def _list_event_us(point: EvaluationPoint) -> Estimate:
+    read_and_update = point.estimate("list_read_delta_us", "engines") + point.estimate(
+        "gateway_update_delta_us", "engines"
+    )
+    return read_and_update + point.estimate("module_list_delta_us", "engines")
 
 
 # --- Gateway, control.
 
 
-def _refresh_cpu(s: EvaluationPoint) -> Estimate:
-    return cpu_share(s.estimate("module_refresh_us", "engines"), given("refresh_per_s"))
+def _refresh_cpu(point: EvaluationPoint) -> Estimate:
+    return cpu_share(point.estimate("module_refresh_us", "engines"), input_value("refresh_per_s"))
 
 
-def _sweep_cpu(s: EvaluationPoint) -> Estimate:
-    return cpu_share(s.estimate("module_sweep_us", "engines"), given("sweep_per_s"))
+def _sweep_cpu(point: EvaluationPoint) -> Estimate:
+    return cpu_share(point.estimate("module_sweep_us", "engines"), input_value("sweep_per_s"))
 
 
-def _list_event_cpu(s: EvaluationPoint) -> Estimate:
-    return cpu_share(_list_event_us(s) + s.estimate("list_digest_us", "engines"), CHANGES_PER_S)
+def _list_event_cpu(point: EvaluationPoint) -> Estimate:
+    return cpu_share(_list_event_us(point) + point.estimate("list_digest_us", "engines"), CHANGES_PER_S)
 
 
-def _probe_report_cpu(s: EvaluationPoint) -> Estimate:
-    """By the sightings: memos of a subset hold several."""
-    datagrams, size = s.estimate("memo_datagrams_per_s", "engines"), s.estimate("memo_bytes_per_s", "engines")
-    each = s.estimate("module_memo_us", "engines")
-    head = given("datagram_overhead") + probe_reports.HEADER.size
-    parts = zip(_bounds(datagrams), _bounds(size), _bounds(each), strict=True)
-    return Estimate(*(max(0.0, b - head * d) / probe_reports.ENTRY.size * us / 1e6 for d, b, us in parts))
+def _probe_report_cpu(point: EvaluationPoint) -> Estimate:
+    """Counts the reports and not the datagrams: with a subset, a datagram holds several reports."""
+    datagrams_per_s = point.estimate("memo_datagrams_per_s", "engines")
+    bytes_per_s = point.estimate("memo_bytes_per_s", "engines")
+    per_report_us = point.estimate("module_memo_us", "engines")
+    header_bytes = input_value("datagram_overhead") + probe_reports.HEADER.size
+    bounds = zip(_bounds(datagrams_per_s), _bounds(bytes_per_s), _bounds(per_report_us), strict=True)
+    return Estimate(
+        *(
+            max(0.0, byte_rate - header_bytes * datagram_rate) / probe_reports.ENTRY.size * report_us / 1e6
+            for datagram_rate, byte_rate, report_us in bounds
+        )
+    )
 
 
 def _bounds(estimate: Estimate) -> tuple[float, float, float]:
+    """Value, lower and upper bound."""
     return estimate.value, estimate.low, estimate.high
 
 
-def _node_cpu(s: EvaluationPoint) -> Estimate:
-    return s.estimate("node_cpu_share", "gateways", role="gateway")
+def _node_cpu(point: EvaluationPoint) -> Estimate:
+    return point.estimate("node_cpu_share", "gateways", role="gateway")
 
 
-def _membership_cpu(s: EvaluationPoint) -> Estimate:
-    return cpu_share(s.estimate("membership_tick_us", "gateways"), given("turns_per_s"))
+def _membership_cpu(point: EvaluationPoint) -> Estimate:
+    return cpu_share(point.estimate("membership_tick_us", "gateways"), input_value("turns_per_s"))
 
 
-def _total_cpu(s: EvaluationPoint) -> Estimate:
-    return _refresh_cpu(s) + _sweep_cpu(s) + _list_event_cpu(s) + _probe_report_cpu(s) + _node_cpu(s)
+def _total_cpu(point: EvaluationPoint) -> Estimate:
+    return (
+        _refresh_cpu(point)
+        + _sweep_cpu(point)
+        + _list_event_cpu(point)
+        + _probe_report_cpu(point)
+        + _node_cpu(point)
+    )
 
 
-def _list_event_bytes(s: EvaluationPoint) -> Estimate:
-    return (s.estimate_slope("list_line_bytes", "engines") + exact(given("segment_overhead"))) * CHANGES_PER_S
+def _list_event_bytes(point: EvaluationPoint) -> Estimate:
+    return (
+        point.estimate_slope("list_line_bytes", "engines") + exact(input_value("segment_overhead"))
+    ) * CHANGES_PER_S
+
 
+def probe_report_bytes(point: EvaluationPoint) -> Estimate:
+    """Bytes/s of probe reports: received ones, and those sent to each gateway separately.
 
-def probe_report_bytes(s: EvaluationPoint) -> Estimate:
-    """Heard, and told to each gateway by itself: where one address stands for all, the first alone."""
-    heard = s.estimate("memo_bytes_per_s", "engines")
+    Where one address reaches all gateways, only the received part applies.
+    """
+    received = point.estimate("memo_bytes_per_s", "engines")
     try:
-        return heard + s.estimate("memo_sent_bytes_per_s", "engines")
-    except NotMeasured:  # one sighting each, where there is no subset
-        return heard + s.estimate("memo_sent_datagrams_per_s", "engines") * PROBE_REPORT_BYTES
+        return received + point.estimate("memo_sent_bytes_per_s", "engines")
+    except NotMeasured:  # without a subset, each datagram holds one report
+        return received + point.estimate("memo_sent_datagrams_per_s", "engines") * PROBE_REPORT_BYTES
 
 
-def _node_bytes(s: EvaluationPoint) -> Estimate:
-    return s.estimate("node_bytes_per_s", "gateways", role="gateway")
+def _node_bytes(point: EvaluationPoint) -> Estimate:
+    return point.estimate("node_bytes_per_s", "gateways", role="gateway")
 
 
-def _decision_bytes(s: EvaluationPoint) -> Estimate:
-    fetched = s.estimate("version_body_fetch_bytes", "engines")
-    return (s.estimate("log_told_bytes", "gateways") + fetched) * CHANGES_PER_S
+def _decision_bytes(point: EvaluationPoint) -> Estimate:
+    body = point.estimate("version_body_fetch_bytes", "engines")
+    return (point.estimate("log_told_bytes", "gateways") + body) * CHANGES_PER_S
 
 
-def _total_bytes(s: EvaluationPoint) -> Estimate:
-    return probe_report_bytes(s) + _node_bytes(s) + _list_event_bytes(s) + _decision_bytes(s)
+def _total_bytes(point: EvaluationPoint) -> Estimate:
+    return probe_report_bytes(point) + _node_bytes(point) + _list_event_bytes(point) + _decision_bytes(point)
 
 
-def _total_memory(s: EvaluationPoint) -> Estimate:
-    both = s.estimate("module_bytes", "engines") + s.estimate("node_bytes", "gateways", role="gateway")
-    return both + s.estimate("part_bytes", "engines") if s.fit_cache.subset else both
+def _total_memory(point: EvaluationPoint) -> Estimate:
+    both = point.estimate("module_bytes", "engines") + point.estimate(
+        "node_bytes", "gateways", role="gateway"
+    )
+    return both + point.estimate("part_bytes", "engines") if point.fit_cache.subset else both
 
 
-def _sequential_changes_share(s: EvaluationPoint) -> Estimate:
+def _sequential_changes_share(point: EvaluationPoint) -> Estimate:
     return (
-        s.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another")
+        point.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another")
         * CHANGES_PER_S
     )
 
 
-def _hollow_bytes(s: EvaluationPoint) -> Estimate:
-    heard = s.estimate("bytes_in_per_s", "gateways", kind="hollow", role="gateway")
-    return heard + s.estimate("bytes_out_per_s", "gateways", kind="hollow", role="gateway")
+def _hollow_bytes(point: EvaluationPoint) -> Estimate:
+    received = point.estimate("bytes_in_per_s", "gateways", kind="hollow", role="gateway")
+    return received + point.estimate("bytes_out_per_s", "gateways", kind="hollow", role="gateway")
 
 
 # --- The leader.
 
 
-def _lease_cpu(s: EvaluationPoint) -> Estimate:
-    each = s.estimate("node_take_us", "gateways", role="leader")
-    return cpu_share(each, LEASE_REQUESTS_PER_S * s.gateways)
+def _lease_cpu(point: EvaluationPoint) -> Estimate:
+    per_request = point.estimate("node_take_us", "gateways", role="leader")
+    return cpu_share(per_request, LEASE_REQUESTS_PER_S * point.gateways)
 
 
-def _leader_network_share(s: EvaluationPoint) -> Estimate:
-    a_gateway = (
+def _leader_network_share(point: EvaluationPoint) -> Estimate:
+    bytes_per_gateway = (
         LEASE_REQUESTS_PER_S * (LEASE_REQUEST_BYTES + LEASE_REPLY_BYTES)
         + REBROADCASTS_PER_ENTRY * CHANGES_PER_S * CHANGE_BROADCAST_BYTES
     )
-    a_gateway += given("reports_per_s") * GATEWAY_REPORT_BYTES
-    return exact(a_gateway * s.gateways * 8 / 1e9 / given("control_machine_gbit_per_s"))
+    bytes_per_gateway += input_value("reports_per_s") * GATEWAY_REPORT_BYTES
+    return exact(bytes_per_gateway * point.gateways * 8 / 1e9 / input_value("control_machine_gbit_per_s"))
 
 
-def _rebroadcast_datagrams(s: EvaluationPoint) -> Estimate:
-    return exact(REBROADCASTS_PER_ENTRY * ENTRIES_PER_CHANGE * CHANGES_PER_S * s.gateways)
+def _rebroadcast_datagrams(point: EvaluationPoint) -> Estimate:
+    return exact(REBROADCASTS_PER_ENTRY * ENTRIES_PER_CHANGE * CHANGES_PER_S * point.gateways)
 
 
 # --- The bulletin.
 
 
-def _bulletin_event_share(s: EvaluationPoint) -> Estimate:
-    bits = (s.estimate_slope("list_line_bytes", "engines") + exact(given("segment_overhead"))) * 8
-    return bits * (CHANGES_PER_S * s.gateways / 1e9 / given("bulletin_gbit_per_s"))
+def _bulletin_event_share(point: EvaluationPoint) -> Estimate:
+    event_bits = (
+        point.estimate_slope("list_line_bytes", "engines") + exact(input_value("segment_overhead"))
+    ) * 8
+    return event_bits * (CHANGES_PER_S * point.gateways / 1e9 / input_value("bulletin_gbit_per_s"))
 
 
-def _bulletin_full_list_s(s: EvaluationPoint) -> Estimate:
-    line = s.estimate("list_line_bytes", "engines")
-    return line * (8 * s.gateways / 1e9 / given("bulletin_gbit_per_s"))
+def _bulletin_full_list_s(point: EvaluationPoint) -> Estimate:
+    list_bytes = point.estimate("list_line_bytes", "engines")
+    return list_bytes * (8 * point.gateways / 1e9 / input_value("bulletin_gbit_per_s"))
 
 
-ONE_CORE, ONE_CORE_LABEL = 1.0, "a core: one process, one loop"
-CPU_BUDGET_LABEL, BYTES_BUDGET_LABEL, MEMORY_BUDGET_LABEL = "1.4% of a core", "4 KB/s", "64 MB"
+ONE_CORE = 1.0
+ONE_CORE_LABEL = "a core: one process, one loop"
+CPU_BUDGET_LABEL = "1.4% of a core"
+BYTES_BUDGET_LABEL = "4 KB/s"
+MEMORY_BUDGET_LABEL = "64 MB"
 ROUTING_POLICY_PATH = "whintrail/routing.py:RoutingPolicy."
 
 ROWS: tuple[Row, ...] = (
@@ -247,11 +286,11 @@
         "statements in, at the peak",
         "1/s",
         "neither",
-        lambda s: exact(STATEMENTS_PER_GATEWAY_PER_S * given("peak_over_mean")),
+        lambda point: exact(STATEMENTS_PER_GATEWAY_PER_S * input_value("peak_over_mean")),
         None,
         "",
         "whintrail/gateway/sessions.py:Session",
-        f"statements / gateways x peak {given('peak_over_mean'):g}",
+        f"statements / gateways x peak {input_value('peak_over_mean'):g}",
     ),
     Row(
         "choose_cpu",
@@ -260,9 +299,9 @@
         "share",
         "engines",
         _routing_cpu,
-        given("data_path_cores") - CONTROL_CPU_BUDGET,
+        input_value("data_path_cores") - CONTROL_CPU_BUDGET,
         "a core less control's 1.4%",
-        ROUTING_POLICY_PATH + "_choose",
+        ROUTING_POLICY_PATH + "_choose_engine",
         f"(module_query_us + module_ended_us) x {STATEMENTS_PER_GATEWAY_PER_S:,.0f} statements/s",
     ),
     Row(
@@ -272,21 +311,22 @@
         "share",
         "engines",
         _statement_cpu,
-        given("data_path_cores") - CONTROL_CPU_BUDGET,
+        input_value("data_path_cores") - CONTROL_CPU_BUDGET,
         "a core less control's 1.4%",
         "whintrail/gateway/dispatcher.py:Dispatcher._on_query",
-        f"query_marginal_cpu_us x {STATEMENTS_PER_GATEWAY_PER_S:,.0f}/s x peak {given('peak_over_mean'):g}",
+        f"query_marginal_cpu_us x {STATEMENTS_PER_GATEWAY_PER_S:,.0f}/s"
+        f" x peak {input_value('peak_over_mean'):g}",
     ),
     Row(
         "refresh_stand",
         DATA_PATH_ROLE,
-        "a query that meets `_refresh` waits",
+        "a query that meets `_refresh_weights` waits",
         "ms",
         "engines",
-        lambda s: s.estimate("module_refresh_us", "engines") * 1e-3,
+        lambda point: point.estimate("module_refresh_us", "engines") * 1e-3,
         ANSWER_SLACK_MS,
         "the slack of a final answer",
-        ROUTING_POLICY_PATH + "_refresh",
+        ROUTING_POLICY_PATH + "_refresh_weights",
         "module_refresh_us, in one go",
     ),
     Row(
@@ -295,10 +335,10 @@
         "a query that meets a list event waits",
         "ms",
         "engines",
-        lambda s: _list_event_us(s) * 1e-3,
+        lambda point: _list_event_us(point) * 1e-3,
         ANSWER_SLACK_MS,
         "the slack of a final answer",
-        ROUTING_POLICY_PATH + "_listed",
+        ROUTING_POLICY_PATH + "_on_engine_list",
         "list_read_delta_us + gateway_update_delta_us + module_list_delta_us, in one go",
     ),
     Row(
@@ -319,7 +359,7 @@
         "a whole list, as an empty query meets it, measured",
         "ms",
         "engines",
-        lambda s: s.estimate(
+        lambda point: point.estimate(
             "loop_stall_ms", "engines", kind="real", note="an empty query's longest answer, whole list"
         ),
         ANSWER_SLACK_MS,
@@ -334,7 +374,7 @@
         "a list event, as an empty query meets it, measured",
         "ms",
         "engines",
-        lambda s: s.estimate(
+        lambda point: point.estimate(
             "loop_stall_ms", "engines", kind="real", note="an empty query's longest answer, one entry"
         ),
         ANSWER_SLACK_MS,
@@ -349,8 +389,8 @@
         "clients' connections, a descriptor each",
         "count",
         "neither",
-        lambda s: exact(CLIENTS_PER_GATEWAY),
-        given("client_limit"),
+        lambda point: exact(CLIENTS_PER_GATEWAY),
+        input_value("client_limit"),
         "45% of 1,024 descriptors",
         "whintrail/gateway/limits.py:Limits.read",
         "client connections / gateways",
@@ -363,7 +403,7 @@
         "count",
         "engines",
         _links_per_gateway,
-        given("link_limit"),
+        input_value("link_limit"),
         "35% of 1,024 descriptors",
         "whintrail/gateway/links.py:LinkPool",
         "engines x (1 - e^(-statements in the keepalive / engines))",
@@ -375,8 +415,9 @@
         "memory of clients' connections",
         "bytes",
         "neither",
-        lambda s: s.estimate("memory_a_connection_bytes", "gateways", kind="real") * CLIENTS_PER_GATEWAY,
-        given("memory_mb") * MB,
+        lambda point: point.estimate("memory_a_connection_bytes", "gateways", kind="real")
+        * CLIENTS_PER_GATEWAY,
+        input_value("memory_mb") * MB,
         "192 MB, the platform's most",
         "whintrail/gateway/sessions.py:Session",
         "memory_a_connection_bytes x connections a gateway",
@@ -385,14 +426,14 @@
     Row(
         "refresh_cpu",
         CONTROL_ROLE,
-        "the module's `_refresh`",
+        "the module's `_refresh_weights`",
         "share",
         "engines",
         _refresh_cpu,
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
-        ROUTING_POLICY_PATH + "_refresh",
-        f"module_refresh_us x {given('refresh_per_s'):g}/s",
+        ROUTING_POLICY_PATH + "_refresh_weights",
+        f"module_refresh_us x {input_value('refresh_per_s'):g}/s",
     ),
     Row(
         "sweep_cpu",
@@ -403,8 +444,8 @@
         _sweep_cpu,
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
-        ROUTING_POLICY_PATH + "_timer",
-        f"module_sweep_us x {given('sweep_per_s'):g}/s",
+        ROUTING_POLICY_PATH + "_on_timer",
+        f"module_sweep_us x {input_value('sweep_per_s'):g}/s",
     ),
     Row(
         "delta_cpu",
@@ -415,7 +456,7 @@
         _list_event_cpu,
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
-        ROUTING_POLICY_PATH + "_listed",
+        ROUTING_POLICY_PATH + "_on_engine_list",
         f"(the same + list_digest_us) x {CHANGES_PER_S:.2f}/s",
     ),
     Row(
@@ -427,7 +468,7 @@
         _probe_report_cpu,
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
-        ROUTING_POLICY_PATH + "_told",
+        ROUTING_POLICY_PATH + "_on_peer_message",
         "sightings in memo_bytes_per_s x module_memo_us",
     ),
     Row(
@@ -440,7 +481,7 @@
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
         "whintrail/fleet/membership.py:Membership.tick",
-        f"membership_tick_us x {given('turns_per_s'):g}/s",
+        f"membership_tick_us x {input_value('turns_per_s'):g}/s",
     ),
     Row(
         "node_cpu",
@@ -473,7 +514,7 @@
         "processor time of a hollow gateway, measured",
         "share",
         "engines",
-        lambda s: s.estimate("control_cpu_share", "engines", kind="hollow", role="gateway"),
+        lambda point: point.estimate("control_cpu_share", "engines", kind="hollow", role="gateway"),
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
         "whintrail/routing.py:RoutingPolicy",
@@ -486,7 +527,7 @@
         "the same, over gateways",
         "share",
         "gateways",
-        lambda s: s.estimate("control_cpu_share", "gateways", kind="hollow", role="gateway"),
+        lambda point: point.estimate("control_cpu_share", "gateways", kind="hollow", role="gateway"),
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
         "whintrail/fleet/node.py:FleetNode",
@@ -512,10 +553,10 @@
         "memos heard",
         "datagrams/s",
         "engines",
-        lambda s: s.estimate("memo_datagrams_per_s", "engines"),
+        lambda point: point.estimate("memo_datagrams_per_s", "engines"),
         None,
         "",
-        ROUTING_POLICY_PATH + "_probed",
+        ROUTING_POLICY_PATH + "_on_probe_finished",
         "memo_datagrams_per_s",
     ),
     Row(
@@ -527,7 +568,7 @@
         probe_report_bytes,
         CONTROL_BYTES_PER_S_BUDGET,
         BYTES_BUDGET_LABEL,
-        ROUTING_POLICY_PATH + "_probed",
+        ROUTING_POLICY_PATH + "_on_probe_finished",
         "memo_bytes_per_s + memo_sent_bytes_per_s",
     ),
     Row(
@@ -548,7 +589,7 @@
         "the same, simulated",
         "bytes/s",
         "gateways",
-        lambda s: s.estimate("member_bytes_per_s", "gateways", kind="simulated", role="gateway"),
+        lambda point: point.estimate("member_bytes_per_s", "gateways", kind="simulated", role="gateway"),
         CONTROL_BYTES_PER_S_BUDGET,
         BYTES_BUDGET_LABEL,
         "whintrail/fleet/node.py:FleetNode.flush",
@@ -598,7 +639,7 @@
         "the module's state of engines",
         "bytes",
         "engines",
-        lambda s: s.estimate("module_bytes", "engines"),
+        lambda point: point.estimate("module_bytes", "engines"),
         CONTROL_MEMORY_BUDGET_BYTES,
         MEMORY_BUDGET_LABEL,
         "whintrail/state.py:Engine",
@@ -610,7 +651,7 @@
         "the node's state of gateways",
         "bytes",
         "gateways",
-        lambda s: s.estimate("node_bytes", "gateways", role="gateway"),
+        lambda point: point.estimate("node_bytes", "gateways", role="gateway"),
         CONTROL_MEMORY_BUDGET_BYTES,
         MEMORY_BUDGET_LABEL,
         "whintrail/fleet/node.py:FleetNode",
@@ -635,8 +676,8 @@
         "a whole list in one line of the bulletin",
         "bytes",
         "engines",
-        lambda s: s.estimate("list_line_bytes", "engines"),
-        given("bulletin_line_bytes"),
+        lambda point: point.estimate("list_line_bytes", "engines"),
+        input_value("bulletin_line_bytes"),
         "1 MiB: a longer line is refused",
         "whintrail/gateway/bulletin.py:BulletinClient._follow_events",
         "list_line_bytes",
@@ -647,7 +688,7 @@
         "a change in force on all, p99",
         "s",
         "gateways",
-        lambda s: s.estimate(
+        lambda point: point.estimate(
             "version_in_force_s", "gateways", kind="simulated", note="one after another", stat="high"
         ),
         IN_FORCE_BUDGET_S,
@@ -673,7 +714,7 @@
         "a list event held by all, p99",
         "s",
         "gateways",
-        lambda s: s.estimate("list_apply_s", "gateways", kind="hollow", day="changes", stat="high"),
+        lambda point: point.estimate("list_apply_s", "gateways", kind="hollow", day="changes", stat="high"),
         IN_FORCE_BUDGET_S,
         "3 s",
         "whintrail/gateway/bulletin.py:BulletinClient.process_line",
@@ -685,7 +726,7 @@
         "a dead gateway known to nine in ten",
         "s",
         "gateways",
-        lambda s: s.estimate("removal_known_s", "gateways", kind="simulated", day="losses"),
+        lambda point: point.estimate("removal_known_s", "gateways", kind="simulated", day="losses"),
         None,
         "",
         "whintrail/fleet/membership.py:Membership._suspicion_us",
@@ -697,7 +738,7 @@
         "the fleet's state with a newcomer",
         "s",
         "gateways",
-        lambda s: s.estimate("state_newcomer_s", "gateways", kind="simulated", day="losses"),
+        lambda point: point.estimate("state_newcomer_s", "gateways", kind="simulated", day="losses"),
         None,
         "",
         "whintrail/fleet/replica.py:Replica.request_missing",
@@ -709,7 +750,7 @@
         "engines told of by nobody, their key shared",
         "share",
         "engines",
-        lambda s: exact(1 - (1 - 2.0**-16) ** (s.engines - 1)),
+        lambda point: exact(1 - (1 - 2.0**-16) ** (point.engines - 1)),
         None,
         "",
         "whintrail/fleet/probe_reports.py:engines_by_key",
@@ -721,10 +762,10 @@
         "probes that a gateway sends",
         "1/s",
         "both",
-        lambda s: s.estimate("memo_datagrams_per_s", "engines") * (1 / s.gateways),
+        lambda point: point.estimate("memo_datagrams_per_s", "engines") * (1 / point.gateways),
         None,
         "",
-        ROUTING_POLICY_PATH + "_probe",
+        ROUTING_POLICY_PATH + "_send_probes",
         "memo_datagrams_per_s / gateways: what all hear, one sends",
     ),
     Row(
@@ -733,10 +774,10 @@
         "its part of a cold engine's budget",
         "share",
         "gateways",
-        lambda s: s.estimate("cold_part", "gateways"),
+        lambda point: point.estimate("cold_part", "gateways"),
         None,
         "",
-        ROUTING_POLICY_PATH + "_cold_room",
+        ROUTING_POLICY_PATH + "_has_cold_budget",
         "cold_part",
     ),
     Row(
@@ -745,7 +786,7 @@
         "statements, in the mean",
         "1/s",
         "neither",
-        lambda s: exact(given("statements_per_s") / given("engines")),
+        lambda point: exact(input_value("statements_per_s") / input_value("engines")),
         None,
         "",
         "",
@@ -757,7 +798,7 @@
         "links from gateways, at most one each",
         "count",
         "gateways",
-        lambda s: exact(s.gateways),
+        lambda point: exact(point.gateways),
         None,
         "",
         "whintrail/gateway/links.py:LinkPool",
@@ -769,11 +810,11 @@
         "probes answered",
         "1/s",
         "neither",
-        lambda s: exact(1 / given("probe_shared_s")),
+        lambda point: exact(1 / input_value("probe_shared_s")),
         None,
         "",
-        ROUTING_POLICY_PATH + "_probe",
-        "1 each PROBE_SHARED_US, of the whole fleet",
+        ROUTING_POLICY_PATH + "_send_probes",
+        "1 each SHARED_PROBE_INTERVAL_US, of the whole fleet",
     ),
     Row(
         "beats",
@@ -781,7 +822,7 @@
         "log beats and their answers",
         "datagrams/s",
         "neither",
-        lambda s: exact(2 * given("beats_per_s")),
+        lambda point: exact(2 * input_value("beats_per_s")),
         None,
         "",
         "whintrail/fleet/consensus.py:Consensus._send_heartbeats",
@@ -793,7 +834,7 @@
         "a member of the council, hollow",
         "share",
         "gateways",
-        lambda s: s.estimate("control_cpu_share", "gateways", kind="hollow", role="control machine"),
+        lambda point: point.estimate("control_cpu_share", "gateways", kind="hollow", role="control machine"),
         ONE_CORE,
         ONE_CORE_LABEL,
         "whintrail/fleet/consensus.py:Consensus",
@@ -805,7 +846,7 @@
         "the leader's node, simulated",
         "share",
         "gateways",
-        lambda s: s.estimate("leader_cpu_share", "gateways", kind="simulated"),
+        lambda point: point.estimate("leader_cpu_share", "gateways", kind="simulated"),
         ONE_CORE,
         ONE_CORE_LABEL,
         "whintrail/fleet/node.py:FleetNode._run_leader",
@@ -818,7 +859,7 @@
         "its node in all",
         "share",
         "gateways",
-        lambda s: s.estimate("node_cpu_share", "gateways", role="leader"),
+        lambda point: point.estimate("node_cpu_share", "gateways", role="leader"),
         ONE_CORE,
         ONE_CORE_LABEL,
         "whintrail/fleet/node.py:FleetNode._run_leader",
@@ -830,11 +871,13 @@
         "all engines gathered, each turn",
         "share",
         "engines",
-        lambda s: cpu_share(s.estimate("leader_engines_us", "engines", role="leader"), given("turns_per_s")),
+        lambda point: cpu_share(
+            point.estimate("leader_engines_us", "engines", role="leader"), input_value("turns_per_s")
+        ),
         ONE_CORE,
         ONE_CORE_LABEL,
         "whintrail/gateway/fleet.py:FleetService.engines",
-        f"leader_engines_us x {given('turns_per_s'):g}/s",
+        f"leader_engines_us x {input_value('turns_per_s'):g}/s",
     ),
     Row(
         "leader_sum",
@@ -842,9 +885,11 @@
         "both of these",
         "share",
         "both",
-        lambda s: (
-            s.estimate("node_cpu_share", "gateways", role="leader")
-            + cpu_share(s.estimate("leader_engines_us", "engines", role="leader"), given("turns_per_s"))
+        lambda point: (
+            point.estimate("node_cpu_share", "gateways", role="leader")
+            + cpu_share(
+                point.estimate("leader_engines_us", "engines", role="leader"), input_value("turns_per_s")
+            )
         ),
         ONE_CORE,
         ONE_CORE_LABEL,
@@ -859,7 +904,7 @@
         "its node's state",
         "bytes",
         "gateways",
-        lambda s: s.estimate("node_bytes", "gateways", role="leader"),
+        lambda point: point.estimate("node_bytes", "gateways", role="leader"),
         CONTROL_MEMORY_BUDGET_BYTES,
         MEMORY_BUDGET_LABEL,
         "whintrail/fleet/leader.py:Leader",
@@ -868,10 +913,10 @@
     Row(
         "lease_answered",
         LEADER_ROLE,
-        f"asks for leases that are answered, at {given('messages_per_s'):g} messages/s",
+        f"asks for leases that are answered, at {input_value('messages_per_s'):g} messages/s",
         "share",
         "gateways",
-        lambda s: s.estimate("leader_lease_answered", "gateways", role="leader"),
+        lambda point: point.estimate("leader_lease_answered", "gateways", role="leader"),
         None,
         "",
         "whintrail/fleet/node.py:SendBudget.take",
@@ -895,7 +940,7 @@
         "asks for leases and answers",
         "datagrams/s",
         "gateways",
-        lambda s: exact(2 * LEASE_REQUESTS_PER_S * s.gateways),
+        lambda point: exact(2 * LEASE_REQUESTS_PER_S * point.gateways),
         None,
         "",
         "whintrail/versions/leader.py:VersionLeader.grant_lease",
@@ -911,7 +956,8 @@
         None,
         "",
         "whintrail/fleet/node.py:FleetNode._rebroadcast",
-        f"{ENTRIES_PER_CHANGE:g} entries x {REBROADCASTS_PER_ENTRY:g} tellings x {CHANGES_PER_S:.2f}/s a gateway",
+        f"{ENTRIES_PER_CHANGE:g} entries x {REBROADCASTS_PER_ENTRY:g} tellings"
+        f" x {CHANGES_PER_S:.2f}/s a gateway",
     ),
     Row(
         "reports_datagrams",
@@ -919,11 +965,11 @@
         "reports, while it has something to decide",
         "datagrams/s",
         "gateways",
-        lambda s: exact(given("reports_per_s") * s.gateways),
+        lambda point: exact(input_value("reports_per_s") * point.gateways),
         None,
         "",
         "whintrail/fleet/leader.py:Leader.receive_report",
-        f"{given('reports_per_s'):g}/s a gateway",
+        f"{input_value('reports_per_s'):g}/s a gateway",
     ),
     Row(
         "leader_bytes",
@@ -935,8 +981,9 @@
         1.0,
         "a control machine's network",
         "whintrail/fleet/node.py:FleetNode.flush",
-        f"({LEASE_REQUESTS_PER_S:g} x ({LEASE_REQUEST_BYTES:.0f} + {LEASE_REPLY_BYTES:.0f}) + {REBROADCASTS_PER_ENTRY:g} x {CHANGES_PER_S:.2f} x {CHANGE_BROADCAST_BYTES:.0f}"
-        f" + {given('reports_per_s'):g} x {GATEWAY_REPORT_BYTES:.0f}) bytes/s a gateway",
+        f"({LEASE_REQUESTS_PER_S:g} x ({LEASE_REQUEST_BYTES:.0f} + {LEASE_REPLY_BYTES:.0f})"
+        f" + {REBROADCASTS_PER_ENTRY:g} x {CHANGES_PER_S:.2f} x {CHANGE_BROADCAST_BYTES:.0f}"
+        f" + {input_value('reports_per_s'):g} x {GATEWAY_REPORT_BYTES:.0f}) bytes/s a gateway",
     ),
     Row(
         "leader_out",
@@ -944,11 +991,12 @@
         "answers and tellings",
         "datagrams/s",
         "gateways",
-        lambda s: exact(LEASE_REQUESTS_PER_S * s.gateways) + _rebroadcast_datagrams(s),
-        given("messages_per_s"),
+        lambda point: exact(LEASE_REQUESTS_PER_S * point.gateways) + _rebroadcast_datagrams(point),
+        input_value("messages_per_s"),
         "`messages_per_s` as it comes",
         "whintrail/fleet/node.py:SendBudget.take",
-        f"({LEASE_REQUESTS_PER_S:g} + {ENTRIES_PER_CHANGE * REBROADCASTS_PER_ENTRY * CHANGES_PER_S:.2f})/s a gateway",
+        f"({LEASE_REQUESTS_PER_S:g} + {ENTRIES_PER_CHANGE * REBROADCASTS_PER_ENTRY * CHANGES_PER_S:.2f})/s"
+        " a gateway",
         "setting `messages_per_s`",
     ),
     Row(
@@ -957,7 +1005,9 @@
         "asks for leases, if an ordinary gateway leads",
         "bytes/s",
         "gateways",
-        lambda s: exact(LEASE_REQUESTS_PER_S * (LEASE_REQUEST_BYTES + LEASE_REPLY_BYTES) * s.gateways),
+        lambda point: exact(
+            LEASE_REQUESTS_PER_S * (LEASE_REQUEST_BYTES + LEASE_REPLY_BYTES) * point.gateways
+        ),
         CONTROL_BYTES_PER_S_BUDGET,
         BYTES_BUDGET_LABEL,
         "whintrail/versions/leader.py:VersionLeader.grant_lease",
@@ -970,7 +1020,7 @@
         "gateways that follow it, a descriptor each",
         "count",
         "gateways",
-        lambda s: exact(s.gateways),
+        lambda point: exact(point.gateways),
         None,
         "",
         "",
@@ -1006,7 +1056,7 @@
         "gateways a machine, if all shared",
         "count",
         "gateways",
-        lambda s: exact(s.gateways / given("control_machines")),
+        lambda point: exact(point.gateways / input_value("control_machines")),
         None,
         "",
         "",
@@ -1018,7 +1068,7 @@
         "asks for leases, if shared evenly",
         "datagrams/s",
         "gateways",
-        lambda s: exact(LEASE_REQUESTS_PER_S * s.gateways / given("control_machines")),
+        lambda point: exact(LEASE_REQUESTS_PER_S * point.gateways / input_value("control_machines")),
         None,
         "",
         "",
@@ -1030,9 +1080,9 @@
         "processor time of these",
         "share",
         "gateways",
-        lambda s: _lease_cpu(s) * (1 / given("control_machines")),
-        given("control_machine_cores"),
-        f"its {given('control_machine_cores'):g} cores",
+        lambda point: _lease_cpu(point) * (1 / input_value("control_machines")),
+        input_value("control_machine_cores"),
+        f"its {input_value('control_machine_cores'):g} cores",
         "",
         f"node_take_us x {LEASE_REQUESTS_PER_S:g}/s a gateway / 26",
     ),
@@ -1042,7 +1092,7 @@
         "`fleet may-restart`: a slot granted",
         "s",
         "gateways",
-        lambda s: s.estimate("slot_s", "gateways", kind="simulated"),
+        lambda point: point.estimate("slot_s", "gateways", kind="simulated"),
         None,
         "",
         "whintrail/fleet/leader.py:Leader._decide_slot",
@@ -1054,7 +1104,8 @@
         "slots one after another, share of the day",
         "share",
         "gateways",
-        lambda s: s.estimate("slot_s", "gateways", kind="simulated") * daily_rate_per_s("restarts_a_day"),
+        lambda point: point.estimate("slot_s", "gateways", kind="simulated")
+        * daily_rate_per_s("restarts_a_day"),
         1.0,
         "the whole day",
         "whintrail/fleet/leader.py:Leader._decide_slot",
@@ -1062,7 +1113,7 @@
     ),
 )
 
-# Of a gateway that keeps a subset; without one there is nothing of them.
+# Rows that exist only where gateways keep a subset of the engines.
 SUBSET_ROWS: tuple[Row, ...] = (
     Row(
         "part_delta_cpu",
@@ -1070,7 +1121,7 @@
         "its part kept in step with list events",
         "share",
         "engines",
-        lambda s: cpu_share(s.estimate("part_delta_us", "engines"), CHANGES_PER_S),
+        lambda point: cpu_share(point.estimate("part_delta_us", "engines"), CHANGES_PER_S),
         CONTROL_CPU_BUDGET,
         CPU_BUDGET_LABEL,
         "whintrail/subset/assignment.py:SubsetAssignment.apply_list",
@@ -1083,7 +1134,7 @@
         "a query that meets its part of a whole list waits",
         "ms",
         "engines",
-        lambda s: s.estimate("part_start_us", "engines") * 1e-3,
+        lambda point: point.estimate("part_start_us", "engines") * 1e-3,
         ANSWER_SLACK_MS,
         "the slack of a final answer",
         "whintrail/subset/assignment.py:SubsetAssignment.apply_list",
@@ -1096,7 +1147,7 @@
         "what it knows of engines that it doesn't keep",
         "bytes",
         "engines",
-        lambda s: s.estimate("part_bytes", "engines"),
+        lambda point: point.estimate("part_bytes", "engines"),
         CONTROL_MEMORY_BUDGET_BYTES,
         MEMORY_BUDGET_LABEL,
         "whintrail/subset/assignment.py:SubsetAssignment",
