--- a/whintrail/scale/tables.py
+++ b/whintrail/scale/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md as text: by name, from samples and predictions alone. Pure."""
+"""Renders the tables of docs/CAPACITY.md as Markdown, from samples and predictions. Does no I/O."""
 
 import math
 import re
@@ -19,7 +19,10 @@
 from whintrail.scale.fitting import Fit
 from whintrail.scale.results import Results, Sample
 
-NOT_MEASURED, INCONCLUSIVE, EMPTY_CELL = "not measured", "not told by its sizes", "-"
+NOT_MEASURED = "not measured"
+INCONCLUSIVE = "not told by its sizes"
+EMPTY_CELL = "-"
+# Rows whose values change if gateways keep a subset of the engines.
 SUBSET_AFFECTED_ROWS = {
     *candidates.SUBSET.resolves,
     *candidates.SUBSET.eases,
@@ -29,7 +32,7 @@
 
 
 class Prediction(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A figure told before its run."""
+    """A value predicted before the run that measures it."""
 
     quantity: str
     unit: str
@@ -42,36 +45,42 @@
     role: str = "gateway"
     subset: int = 0
     note: str = ""
-    sizes: tuple[int, ...]  # those that it was fitted on
+    sizes: tuple[int, ...]  # the sizes that it was fitted to
     form: str
     commit: str
     written_at: str  # UTC, ISO 8601
 
 
 class PredictionFile(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The content of the file of predictions."""
+
     predictions: list[Prediction]
 
 
-# --- Figures as text.
+# --- Values as text.
 
 
 def format_number(value: float) -> str:
-    """Three digits that count, thousands parted; a whole number as it is."""
+    """Three significant digits with thousands separators; whole numbers below ten million in full."""
     if not math.isfinite(value):
         return EMPTY_CELL
     if value == round(value) and abs(value) < 1e7:
         return f"{value:,.0f}"
-    places = 2 - math.floor(math.log10(abs(value)))
-    rounded = round(value, places)
-    return f"{rounded:,.{max(0, places)}f}" if places > 0 else f"{rounded:,.0f}"
+    decimals = 2 - math.floor(math.log10(abs(value)))
+    rounded = round(value, decimals)
+    return f"{rounded:,.{max(0, decimals)}f}" if decimals > 0 else f"{rounded:,.0f}"
 
 
 def zero_if_negligible(value: float, reference: float) -> float:
-    """0 for what is nothing beside the scale: rounding of the fit, which differs from machine to machine."""
+    """Replaces a value that is negligible next to a reference by 0.
+
+    Such values are rounding errors of a fit, which differ between machines.
+    """
     return 0.0 if abs(value) < 1e-6 * abs(reference) else value
 
 
 def format_quantity(value: float, unit: str) -> str:
+    """A value with its unit: shares as percentages, large byte counts in KB or MB."""
     if unit == "share":
         return f"{format_number(100 * value)}%"
     if unit == "bytes" and abs(value) >= 1e6:
@@ -86,13 +95,12 @@
 
 
 def format_estimate(estimate: Estimate, unit: str) -> str:
+    """A value with its range in brackets; without a range if it is exact."""
     text = format_quantity(estimate.value, unit)
     if estimate.high - estimate.low <= 1e-9 * abs(estimate.value):
         return text
-    low, high = (
-        zero_if_negligible(estimate.low, estimate.value),
-        zero_if_negligible(estimate.high, estimate.value),
-    )
+    low = zero_if_negligible(estimate.low, estimate.value)
+    high = zero_if_negligible(estimate.high, estimate.value)
     return f"{text} ({format_quantity(low, unit)} to {format_quantity(high, unit)})"
 
 
@@ -105,28 +113,31 @@
     evaluate: Callable[[EvaluationPoint], Estimate],
     is_inconclusive: bool,
 ) -> str:
-    """The cell of a value at the size that is coming; where its fits were taken at smaller sizes only, so."""
+    """The cell with a value at the target size.
+
+    It says so if the value is extrapolated from smaller sizes, or missing, or inconclusive.
+    """
     if value is None:
         return f"{NOT_MEASURED}: {missing_quantity}"
     if is_inconclusive:
-        there, (gateways, engines) = capacity.evaluate_at_largest_measured(evaluate, used_keys, fit_cache)
-        along = {use.grows_with for use in used_keys}
-        sizes = [f"{gateways:,.0f} gateways"] * ("gateways" in along)
-        sizes += [f"{engines:,.0f} engines"] * ("engines" in along)
-        return f"{INCONCLUSIVE}; {format_quantity(there.value, unit)} at {' and '.join(sizes)}"
+        measured, (gateways, engines) = capacity.evaluate_at_largest_measured(evaluate, used_keys, fit_cache)
+        dimensions = {key.grows_with for key in used_keys}
+        sizes = [f"{gateways:,.0f} gateways"] * ("gateways" in dimensions)
+        sizes += [f"{engines:,.0f} engines"] * ("engines" in dimensions)
+        return f"{INCONCLUSIVE}; {format_quantity(measured.value, unit)} at {' and '.join(sizes)}"
     text = format_estimate(value, unit)
-    for use in used_keys:
+    for key in used_keys:
         try:
-            most = max(fit_cache.fit(use).sizes)
-        except capacity.NotMeasured:  # another was taken in its place
+            largest_size = max(fit_cache.fit(key).sizes)
+        except capacity.NotMeasured:  # the row used another quantity instead
             continue
-        if most < capacity.target_size()[1 if use.grows_with == "engines" else 0]:
-            text += f"; foretold: {use.quantity} was taken up to {most:,} {use.grows_with}"
+        if largest_size < capacity.target_size()[1 if key.grows_with == "engines" else 0]:
+            text += f"; foretold: {key.quantity} was taken up to {largest_size:,} {key.grows_with}"
     return text
 
 
 def crossing_cell(dimension: RowDimension, crossing: BudgetCrossing | None) -> str:
-    """The size at which a budget is passed."""
+    """The cell with the size at which a budget is exceeded."""
     if crossing is None:
         return EMPTY_CELL
     if dimension == "neither":
@@ -134,52 +145,55 @@
     if crossing.size is None:
         return f"at none up to {capacity.SEARCH_LIMIT_FACTOR:g} times"
 
-    def size(x: float) -> str:
+    def format_size(size: float) -> str:
         if dimension != "both":
-            return format_number(x)
-        gateways, engines = capacity.size_at_progress(_progress_at_gateways(x))
+            return format_number(size)
+        gateways, engines = capacity.size_at_progress(_progress_at_gateways(size))
         return f"{format_number(gateways)} and {format_number(engines)}"
 
     if dimension == "both" and crossing.size <= 1:
         return "at any size"
     if crossing.is_below_measured and crossing.measured_range is not None:
         return f"below {crossing.measured_range[0]:,} {dimension}, the least taken"
-    text = size(crossing.size) if crossing.is_certain else f"unsure: {size(crossing.size)}"
-    early, late = crossing.earliest, crossing.latest
-    if early is not None and late is not None and size(early) != size(late):
-        text += f" ({size(early)} to {size(late)})"
+    text = format_size(crossing.size) if crossing.is_certain else f"unsure: {format_size(crossing.size)}"
+    earliest, latest = crossing.earliest, crossing.latest
+    if earliest is not None and latest is not None and format_size(earliest) != format_size(latest):
+        text += f" ({format_size(earliest)} to {format_size(latest)})"
     return f"{text} gateways and engines" if dimension == "both" else f"{text} {dimension}"
 
 
 def _progress_at_gateways(gateways: float) -> float:
-    begin, end = capacity.current_size()[0], capacity.target_size()[0]
-    return (gateways - begin) / (end - begin)
+    """Unlike `capacity.growth_progress`, negative below the current size."""
+    current, target = capacity.current_size()[0], capacity.target_size()[0]
+    return (gateways - current) / (target - current)
 
 
 def format_slope(fit: Fit) -> str:
-    each = f"{fit.unit} {'an engine' if fit.grows_with == 'engines' else 'a gateway'}"
-    slope, error = (
-        zero_if_negligible(fit.slope, fit.slope_error),
-        zero_if_negligible(fit.slope_error, fit.slope),
-    )
-    return f"{format_number(slope)} +- {format_number(error)} {each}"
+    """The increase per engine or gateway, with its standard error."""
+    unit = f"{fit.unit} {'an engine' if fit.grows_with == 'engines' else 'a gateway'}"
+    slope = zero_if_negligible(fit.slope, fit.slope_error)
+    error = zero_if_negligible(fit.slope_error, fit.slope)
+    return f"{format_number(slope)} +- {format_number(error)} {unit}"
 
 
 def format_sizes(fit: Fit) -> str:
+    """The sizes that a fit rests on."""
     return ", ".join(f"{size:,}" for size in fit.sizes)
 
 
 def markdown_table(head: Sequence[str], body: Sequence[Sequence[str]]) -> str:
+    """A Markdown table; a `|` within a cell is replaced by `/`."""
     lines = [head, ["---"] * len(head), *body]
-    return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |" for line in lines)
+    return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in cells) + " |" for cells in lines)
 
 
 # --- The tables.
 
 
 def _code_path_cell(row_result: RowResult, code_locations: Mapping[str, str]) -> str:
+    """The cell that names the code which bears a row's cost today, or says that a mechanism is missing."""
     row = row_result.row
-    today = (
+    location = (
         f"`{code_locations.get(row.code_path, row.code_path)}`"
         if row.code_path
         else "not ours"
@@ -187,15 +201,16 @@
         else ""
     )
     if row.remedy and row_result.is_exceeded:
-        return f"{today}; {row.remedy}"
+        return f"{location}; {row.remedy}"
     if row_result.is_exceeded:
-        return f"**missing**; today {today}" if today else "**missing**"
-    return today or "**missing**"
+        return f"**missing**; today {location}" if location else "**missing**"
+    return location or "**missing**"
 
 
 def roles_table(
     row_results: Sequence[RowResult], fit_cache: FitCache, code_locations: Mapping[str, str]
 ) -> str:
+    """All rows by role, with value, budget and where the budget is exceeded."""
     head = (
         "role",
         "what",
@@ -207,18 +222,24 @@
         "passed at",
     )
     body = []
-    for f in row_results:
-        row = f.row
+    for result in row_results:
+        row = result.row
         value = value_cell(
-            f.value, f.missing, row.unit, f.used_keys, fit_cache, row.evaluate, f.is_inconclusive
+            result.value,
+            result.missing,
+            row.unit,
+            result.used_keys,
+            fit_cache,
+            row.evaluate,
+            result.is_inconclusive,
         )
         budget = row.budget_name or "none set"
-        used = (
-            f"{format_number(100 * f.budget_share)}%"
-            if f.budget_share is not None and not f.is_inconclusive
+        used_share = (
+            f"{format_number(100 * result.budget_share)}%"
+            if result.budget_share is not None and not result.is_inconclusive
             else EMPTY_CELL
         )
-        crossing = crossing_cell(row.grows_with, f.crossing) if row.budget is not None else EMPTY_CELL
+        crossing = crossing_cell(row.grows_with, result.crossing) if row.budget is not None else EMPTY_CELL
         body.append(
             (
                 row.role,
@@ -226,8 +247,8 @@
                 row.formula,
                 value,
                 budget,
-                used,
-                _code_path_cell(f, code_locations),
+                used_share,
+                _code_path_cell(result, code_locations),
                 crossing,
             )
         )
@@ -235,16 +256,17 @@
 
 
 def slopes_table(keys: Iterable[MeasurementKey], fit_cache: FitCache) -> str:
+    """The fit of each measured quantity."""
     head = ("quantity", "of", "slope", "form", "exponent", "off by at most", "sizes")
     body = []
-    for use in keys:
+    for key in keys:
         try:
-            fit = fit_cache.fit(use)
+            fit = fit_cache.fit(key)
         except capacity.NotMeasured:
             body.append(
                 (
-                    use.quantity,
-                    _describe_key(use),
+                    key.quantity,
+                    _describe_key(key),
                     NOT_MEASURED,
                     EMPTY_CELL,
                     EMPTY_CELL,
@@ -253,20 +275,21 @@
                 )
             )
             continue
+        exponent_error = zero_if_negligible(fit.exponent_error, fit.exponent)
         exponent = (
-            f"{format_number(fit.exponent)} +- {format_number(zero_if_negligible(fit.exponent_error, fit.exponent))}"
-            if fit.exponent == fit.exponent
+            f"{format_number(fit.exponent)} +- {format_number(exponent_error)}"
+            if fit.exponent == fit.exponent  # not NaN
             else EMPTY_CELL
         )
-        worst = f"{format_number(100 * zero_if_negligible(fit.worst, 1.0))}%"
+        worst_deviation = f"{format_number(100 * zero_if_negligible(fit.worst, 1.0))}%"
         body.append(
             (
-                use.quantity,
-                _describe_key(use),
+                key.quantity,
+                _describe_key(key),
                 format_slope(fit),
                 fit.form,
                 exponent,
-                worst,
+                worst_deviation,
                 format_sizes(fit),
             )
         )
@@ -274,25 +297,36 @@
 
 
 def _describe_key(key: MeasurementKey) -> str:
+    """What a key selects besides the quantity."""
     day = key.day if key.day != "steady" else None
-    words = [key.kind, key.role, key.note, day, "99th or 95th hundredth" if key.stat == "high" else None]
-    return ", ".join(word for word in words if word) or "gateway"
+    parts = [key.kind, key.role, key.note, day, "99th or 95th hundredth" if key.stat == "high" else None]
+    return ", ".join(part for part in parts if part) or "gateway"
 
 
 def rates_table(facts: Sequence[rates.Reckoned], fit_cache: FitCache) -> str:
+    """What each event costs, compared with its budget."""
     head = ("event", "what", "at 4,000 and 15,000", "budget", "holds")
     body = []
-    for r in facts:
-        fact = r.fact
-        value = value_cell(r.value, r.missing, fact.unit, r.used, fit_cache, fact.value, r.untold)
-        holds = EMPTY_CELL if fact.budget is None or r.value is None else "**no**" if r.passed else "yes"
-        if fact.budget is not None and r.untold:
-            holds = "**no**, there already" if r.passed else INCONCLUSIVE
+    for result in facts:
+        fact = result.fact
+        value = value_cell(
+            result.value, result.missing, fact.unit, result.used, fit_cache, fact.value, result.untold
+        )
+        holds = (
+            EMPTY_CELL
+            if fact.budget is None or result.value is None
+            else "**no**"
+            if result.passed
+            else "yes"
+        )
+        if fact.budget is not None and result.untold:
+            holds = "**no**, there already" if result.passed else INCONCLUSIVE
         body.append((fact.event, fact.what, value, fact.budget_name or EMPTY_CELL, holds))
     return markdown_table(head, body)
 
 
 def ranking_table(row_results: Sequence[RowResult]) -> str:
+    """The missing mechanisms by the size at which they are needed."""
     head = (
         "mechanism",
         "its first row to fail",
@@ -302,66 +336,94 @@
         "which",
     )
     body = []
-    for rank in capacity.rank_candidates(row_results, candidates.CANDIDATES):
-        first, names = rank.first_failing, ", ".join(f.row.key for f in rank.failing)
-        at = crossing_cell(first.row.grows_with, first.crossing)
-        share = f"{format_number(100 * rank.growth_progress)}%"
-        body.append((rank.candidate.name, first.row.key, at, share, str(len(rank.failing)), names))
+    for candidate in capacity.rank_candidates(row_results, candidates.CANDIDATES):
+        first_failing, row_keys = (
+            candidate.first_failing,
+            ", ".join(result.row.key for result in candidate.failing),
+        )
+        size = crossing_cell(first_failing.row.grows_with, first_failing.crossing)
+        progress = f"{format_number(100 * candidate.growth_progress)}%"
+        body.append(
+            (
+                candidate.candidate.name,
+                first_failing.row.key,
+                size,
+                progress,
+                str(len(candidate.failing)),
+                row_keys,
+            )
+        )
     return markdown_table(head, body)
 
 
 def failing_table(row_results: Sequence[RowResult]) -> str:
-    """Rows that fail on the way, the first ones first, and who would carry them."""
+    """Rows that exceed their budget up to the target size, with the candidates that would resolve them."""
     head = ("row", "what", "passed at", "share of the way", "would be carried by")
     body = []
-    for f in capacity.failing_rows(row_results):
-        assert f.crossing is not None
-        key = f.row.key
-        by = [f"{c.name} ({c.resolves[key]})" for c in candidates.CANDIDATES if key in c.resolves]
-        by += [f"in part {c.name} ({c.eases[key]})" for c in candidates.CANDIDATES if key in c.eases]
-        at = crossing_cell(f.row.grows_with, f.crossing)
+    for result in capacity.failing_rows(row_results):
+        assert result.crossing is not None
+        key = result.row.key
+        candidate_cells = [
+            f"{candidate.name} ({candidate.resolves[key]})"
+            for candidate in candidates.CANDIDATES
+            if key in candidate.resolves
+        ]
+        candidate_cells += [
+            f"in part {candidate.name} ({candidate.eases[key]})"
+            for candidate in candidates.CANDIDATES
+            if key in candidate.eases
+        ]
+        size = crossing_cell(result.row.grows_with, result.crossing)
         body.append(
             (
-                f.row.key,
-                f.row.description,
-                at,
-                f"{format_number(100 * f.crossing.growth_progress)}%",
-                "; ".join(by) or "nothing yet",
+                result.row.key,
+                result.row.description,
+                size,
+                f"{format_number(100 * result.crossing.growth_progress)}%",
+                "; ".join(candidate_cells) or "nothing yet",
             )
         )
     return markdown_table(head, body)
 
 
 def remedies_table(row_results: Sequence[RowResult]) -> str:
+    """Rows that exceed their budget where a setting or a small change is enough."""
     head = ("what", "at 4,000 and 15,000", "budget", "passed at", "mended by")
     body = [
         (
-            f.row.description,
-            format_estimate(f.value, f.row.unit),
-            f.row.budget_name,
-            crossing_cell(f.row.grows_with, f.crossing),
-            f.row.remedy,
+            result.row.description,
+            format_estimate(result.value, result.row.unit),
+            result.row.budget_name,
+            crossing_cell(result.row.grows_with, result.crossing),
+            result.row.remedy,
         )
-        for f in row_results
-        if f.row.remedy and f.is_exceeded and f.value is not None
+        for result in row_results
+        if result.row.remedy and result.is_exceeded and result.value is not None
     ]
     return markdown_table(head, body)
 
 
 def inputs_table() -> str:
+    """All inputs of the model."""
     head = ("input", "value", "unit", "from", "reason")
     return markdown_table(
-        head, [(i.name, format_number(i.value), i.unit, i.source, i.reason) for i in inputs.ALL_INPUTS]
+        head,
+        [
+            (entry.name, format_number(entry.value), entry.unit, entry.source, entry.reason)
+            for entry in inputs.ALL_INPUTS
+        ],
     )
 
 
 def matches_prediction(p: Prediction, s: Sample) -> bool:
+    """Whether a sample measures what was predicted."""
     return (p.quantity, p.kind, p.role, p.subset, p.note, p.gateways, p.engines) == (
         s.quantity, s.kind, s.role, s.subset, s.note, s.gateways, s.engines,
     )  # fmt: skip
 
 
 def predictions_table(predictions: Sequence[Prediction], results: Sequence[Results]) -> str:
+    """Each prediction next to what its run measured."""
     head = (
         "quantity",
         "gateways",
@@ -374,69 +436,98 @@
         "within",
     )
     body = []
-    for p in predictions:
-        # A run that began before the prediction was written proves nothing.
-        found = [
-            s for r in results if r.taken_at >= p.written_at for s in r.samples if matches_prediction(p, s)
+    for prediction in predictions:
+        # A run that started before the prediction was written doesn't test it.
+        samples = [
+            sample
+            for run in results
+            if run.taken_at >= prediction.written_at
+            for sample in run.samples
+            if matches_prediction(prediction, sample)
         ]
-        told = format_estimate(Estimate(p.value, p.low, p.high), p.unit)
-        sizes = ", ".join(f"{size:,}" for size in p.sizes)
+        predicted = format_estimate(
+            Estimate(prediction.value, prediction.low, prediction.high), prediction.unit
+        )
+        sizes = ", ".join(f"{size:,}" for size in prediction.sizes)
         name = (
-            p.quantity
-            + (f", subset {p.subset}" if p.subset else "")
-            + (f", {p.role}" if p.role != "gateway" else "")
+            prediction.quantity
+            + (f", subset {prediction.subset}" if prediction.subset else "")
+            + (f", {prediction.role}" if prediction.role != "gateway" else "")
         )
-        row = [name, f"{p.gateways:,}", f"{p.engines:,}", told, sizes, p.commit]
-        if not found:
+        row = [
+            name,
+            f"{prediction.gateways:,}",
+            f"{prediction.engines:,}",
+            predicted,
+            sizes,
+            prediction.commit,
+        ]
+        if not samples:
             body.append([*row, "not run", EMPTY_CELL, EMPTY_CELL])
             continue
-        value = found[-1].value
-        ratio = format_number(value / p.value) if p.value else EMPTY_CELL
+        value = samples[-1].value
+        ratio = format_number(value / prediction.value) if prediction.value else EMPTY_CELL
         body.append(
-            [*row, format_quantity(value, p.unit), ratio, "yes" if p.low <= value <= p.high else "**no**"]
+            [
+                *row,
+                format_quantity(value, prediction.unit),
+                ratio,
+                "yes" if prediction.low <= value <= prediction.high else "**no**",
+            ]
         )
     return markdown_table(head, body)
 
 
 def subsets_table(samples: Sequence[Sample]) -> str:
-    """Rows that were measured with a subset on, beside the way of before. Only parts whose slopes were taken:
-    runs of one size with others say nothing of the size that is coming."""
-    cores = {s.subset for s in samples if s.subset and s.kind == "core"}
-    sizes = sorted(cores or {s.subset for s in samples if s.subset})
-    kept = [FitCache(samples, subset=k) for k in sizes]
+    """Rows measured with subsets of several sizes next to the values with all engines.
+
+    Only subset sizes with slopes of single cores are shown, if there are any: other runs, at one fleet size,
+    say nothing about the target size.
+    """
+    core_sizes = {sample.subset for sample in samples if sample.subset and sample.kind == "core"}
+    sizes = sorted(core_sizes or {sample.subset for sample in samples if sample.subset})
+    subset_caches = [FitCache(samples, subset=subset) for subset in sizes]
     head = ["row", "budget", "all engines", "passed at"]
-    head += [cell for k in sizes for cell in (f"{k} kept", "used", "passed at")]
-    plain, body = FitCache(samples), list[list[str]]()
+    head += [cell for subset in sizes for cell in (f"{subset} kept", "used", "passed at")]
+    full_cache, body = FitCache(samples), list[list[str]]()
     for row in (*rows.ROWS, *rows.SUBSET_ROWS):
-        before, after = (
-            capacity.evaluate_row(row, plain),
-            [capacity.evaluate_row(row, figures) for figures in kept],
-        )
-        if row.key not in SUBSET_AFFECTED_ROWS or all(f.value is None for f in after):
+        before = capacity.evaluate_row(row, full_cache)
+        after = [capacity.evaluate_row(row, fit_cache) for fit_cache in subset_caches]
+        if row.key not in SUBSET_AFFECTED_ROWS or all(result.value is None for result in after):
             continue
-        own = row in rows.SUBSET_ROWS
-        was = EMPTY_CELL if own or before.value is None else format_quantity(before.value.value, row.unit)
+        is_subset_row = row in rows.SUBSET_ROWS
+        value_before = (
+            EMPTY_CELL
+            if is_subset_row or before.value is None
+            else format_quantity(before.value.value, row.unit)
+        )
         cells = [
             row.key,
             row.budget_name or EMPTY_CELL,
-            was,
-            EMPTY_CELL if own else crossing_cell(row.grows_with, before.crossing),
+            value_before,
+            EMPTY_CELL if is_subset_row else crossing_cell(row.grows_with, before.crossing),
         ]
-        for f, figures in zip(after, kept, strict=True):
+        for result, fit_cache in zip(after, subset_caches, strict=True):
             cells += [
                 value_cell(
-                    f.value, f.missing, row.unit, f.used_keys, figures, row.evaluate, f.is_inconclusive
+                    result.value,
+                    result.missing,
+                    row.unit,
+                    result.used_keys,
+                    fit_cache,
+                    row.evaluate,
+                    result.is_inconclusive,
                 ),
-                f"{format_number(100 * f.budget_share)}%"
-                if f.budget_share is not None and not f.is_inconclusive
+                f"{format_number(100 * result.budget_share)}%"
+                if result.budget_share is not None and not result.is_inconclusive
                 else EMPTY_CELL,
-                crossing_cell(row.grows_with, f.crossing),
+                crossing_cell(row.grows_with, result.crossing),
             ]
         body.append(cells)
     return markdown_table(head, body) if body else f"{NOT_MEASURED}: no file has samples with a subset."
 
 
-# Of ways to give each gateway a part of the engines, as `whintrail scale ways` says of the largest size.
+# Quantities and headings of the comparison of subset assignments that `whintrail scale ways` writes.
 ASSIGNMENT_COLUMNS = {
     "holders_least": "holders of an engine, least",
     "holders_most": "most",
@@ -451,20 +542,32 @@
 
 
 def assignments_table(samples: Sequence[Sample]) -> str:
-    found = [s for s in samples if s.quantity in ASSIGNMENT_COLUMNS and s.subset and s.note]
-    if not found:
+    """Ways to assign subsets of engines to gateways, compared at the largest size."""
+    selected = [
+        sample
+        for sample in samples
+        if sample.quantity in ASSIGNMENT_COLUMNS and sample.subset and sample.note
+    ]
+    if not selected:
         return f"{NOT_MEASURED}: holders_least"
-    size = max((s.gateways, s.engines) for s in found)
-    cells = {(s.note, s.quantity): s for s in found if (s.gateways, s.engines) == size}
+    size = max((sample.gateways, sample.engines) for sample in selected)
+    cells = {
+        (sample.note, sample.quantity): sample
+        for sample in selected
+        if (sample.gateways, sample.engines) == size
+    }
     body = []
     for note in dict.fromkeys(note for note, _ in cells):
         row = [cells.get((note, name)) for name in ASSIGNMENT_COLUMNS]
-        body.append([note, *(format_number(s.value) if s is not None else EMPTY_CELL for s in row)])
-    at = f"way; {size[0]:,} gateways, {size[1]:,} engines, {found[0].subset} kept"
-    return markdown_table([at, *ASSIGNMENT_COLUMNS.values()], body)
+        body.append(
+            [note, *(format_number(sample.value) if sample is not None else EMPTY_CELL for sample in row)]
+        )
+    heading = f"way; {size[0]:,} gateways, {size[1]:,} engines, {selected[0].subset} kept"
+    return markdown_table([heading, *ASSIGNMENT_COLUMNS.values()], body)
 
 
-DIRECTORY_IN_COMMAND = re.compile(r"(?<=\s)/\S*/")  # of one machine: files' names are enough
+# Directories in a command are specific to a machine; the names of the files are enough.
+DIRECTORY_IN_COMMAND = re.compile(r"(?<=\s)/\S*/")
 REGION_QUANTITIES = {
     "apart_asked": "changes asked for during the cut",
     "apart_settled": "of these came into force",
@@ -475,47 +578,57 @@
 
 
 def regions_table(samples: Sequence[Sample]) -> str:
-    """What `benchmarks.regions` found, a day a column."""
-    found = {(s.quantity, s.day): s for s in samples if s.quantity in REGION_QUANTITIES}
-    if not found:
+    """What `benchmarks.regions` measured, with a column for each day."""
+    sample_by_key = {
+        (sample.quantity, sample.day): sample for sample in samples if sample.quantity in REGION_QUANTITIES
+    }
+    if not sample_by_key:
         return f"{NOT_MEASURED}: apart_asked"
-    days = list(dict.fromkeys(day for _, day in found))
-    size = f"{next(iter(found.values())).gateways} gateways, simulated"
+    days = list(dict.fromkeys(day for _, day in sample_by_key))
+    size = f"{next(iter(sample_by_key.values())).gateways} gateways, simulated"
     body = []
-    for name, what in REGION_QUANTITIES.items():
-        cells = [found.get((name, day)) for day in days]
+    for name, description in REGION_QUANTITIES.items():
+        cells = [sample_by_key.get((name, day)) for day in days]
         body.append(
             [
-                what,
+                description,
                 *(
-                    format_estimate(Estimate(s.value, s.low, s.high), s.unit) if s else EMPTY_CELL
-                    for s in cells
+                    format_estimate(Estimate(sample.value, sample.low, sample.high), sample.unit)
+                    if sample
+                    else EMPTY_CELL
+                    for sample in cells
                 ),
             ]
         )
     return markdown_table([size, *days], body)
 
 
-def _hollow_value(s: EvaluationPoint, quantity: str, day: str = "steady") -> float | None:
-    """What hollow gateways came to at exactly this size, all engines kept."""
-    at = int(s.gateways), int(s.engines)
-    for one in s.fit_cache.samples:
-        if (one.quantity, one.kind, one.role, one.day) == (quantity, "hollow", "gateway", day):
-            if (one.gateways, one.engines, one.subset) == (*at, 0):
-                return one.value
+def _hollow_value(point: EvaluationPoint, quantity: str, day: str = "steady") -> float | None:
+    """The value of hollow gateways at exactly this size, with all engines."""
+    size = int(point.gateways), int(point.engines)
+    for sample in point.fit_cache.samples:
+        if (sample.quantity, sample.kind, sample.role, sample.day) == (quantity, "hollow", "gateway", day):
+            if (sample.gateways, sample.engines, sample.subset) == (*size, 0):
+                return sample.value
     return None
 
 
-def _hollow_bytes_per_s(s: EvaluationPoint) -> float | None:
-    heard, sent = _hollow_value(s, "bytes_in_per_s"), _hollow_value(s, "bytes_out_per_s")
-    return heard + sent if heard is not None and sent is not None and _hollow_probe_reports_per_s(s) else None
+def _hollow_bytes_per_s(point: EvaluationPoint) -> float | None:
+    """Bytes/s in and out; None if the run left out the probe reports."""
+    received, sent = _hollow_value(point, "bytes_in_per_s"), _hollow_value(point, "bytes_out_per_s")
+    return (
+        received + sent
+        if received is not None and sent is not None and _hollow_probe_reports_per_s(point)
+        else None
+    )
 
 
-def _hollow_probe_reports_per_s(s: EvaluationPoint) -> float | None:
-    """None where the run had none: large ones leave them out."""
-    return _hollow_value(s, "memo_datagrams_per_s") or None
+def _hollow_probe_reports_per_s(point: EvaluationPoint) -> float | None:
+    """Datagrams/s of probe reports; None if the run had none, as large runs leave them out."""
+    return _hollow_value(point, "memo_datagrams_per_s") or None
 
 
+# Description, unit, value of hollow gateways, estimate of the model.
 HOLLOW_COMPARISONS: tuple[
     tuple[str, str, Callable[[EvaluationPoint], float | None], Callable[[EvaluationPoint], Estimate]], ...
 ] = (
@@ -523,51 +636,59 @@
         "memos heard; cores played together",
         "datagrams/s",
         _hollow_probe_reports_per_s,
-        lambda s: s.estimate("memo_datagrams_per_s", "engines"),
+        lambda point: point.estimate("memo_datagrams_per_s", "engines"),
     ),
     (
         "datagrams in and out, memos too; cores, simulated fleet",
         "bytes/s",
         _hollow_bytes_per_s,
-        lambda s: rows.probe_report_bytes(s)
-        + s.estimate("member_bytes_per_s", "gateways", kind="simulated", role="gateway"),
+        lambda point: rows.probe_report_bytes(point)
+        + point.estimate("member_bytes_per_s", "gateways", kind="simulated", role="gateway"),
     ),
     (
         "the node's processor time; cores alone",
         "share",
-        lambda s: _hollow_value(s, "node_share"),
-        lambda s: s.estimate("node_cpu_share", "gateways", role="gateway"),
+        lambda point: _hollow_value(point, "node_share"),
+        lambda point: point.estimate("node_cpu_share", "gateways", role="gateway"),
     ),
     (
         "a change in force on all, median; simulated fleet",
         "s",
-        lambda s: _hollow_value(s, "version_in_force_s", "changes"),
-        lambda s: s.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another"),
+        lambda point: _hollow_value(point, "version_in_force_s", "changes"),
+        lambda point: point.estimate(
+            "version_in_force_s", "gateways", kind="simulated", note="one after another"
+        ),
     ),
 )
 
 
 def hollow_comparison_table(samples: Sequence[Sample], fit_cache: FitCache) -> str:
-    """Hollow gateways on real datagrams beside what cores alone and simulated fleets say of the same size."""
-    sizes = sorted({(s.gateways, s.engines) for s in samples if s.kind == "hollow" and not s.subset})
+    """Hollow gateways on real datagrams compared with single cores and simulations of the same size."""
+    sizes = sorted(
+        {
+            (sample.gateways, sample.engines)
+            for sample in samples
+            if sample.kind == "hollow" and not sample.subset
+        }
+    )
     body = []
-    for what, unit, hollow, model in HOLLOW_COMPARISONS:
+    for description, unit, hollow_value, model_estimate in HOLLOW_COMPARISONS:
         for gateways, engines in sizes:
-            at = EvaluationPoint(gateways, engines, fit_cache)
-            found = hollow(at)
-            if found is None:
+            point = EvaluationPoint(gateways, engines, fit_cache)
+            value = hollow_value(point)
+            if value is None:
                 continue
-            cells = [what, f"{gateways:,}", f"{engines:,}", format_quantity(found, unit)]
+            cells = [description, f"{gateways:,}", f"{engines:,}", format_quantity(value, unit)]
             try:
-                says = model(at)
+                estimate = model_estimate(point)
             except capacity.NotMeasured as error:
                 body.append([*cells, f"{NOT_MEASURED}: {error}", EMPTY_CELL])
                 continue
             body.append(
                 [
                     *cells,
-                    format_estimate(says, unit),
-                    format_number(found / says.value) if says.value else EMPTY_CELL,
+                    format_estimate(estimate, unit),
+                    format_number(value / estimate.value) if estimate.value else EMPTY_CELL,
                 ]
             )
     head = ("what", "gateways", "engines", "hollow", "cores or simulated", "ratio")
@@ -575,90 +696,112 @@
 
 
 def files_table(results: Mapping[str, Results]) -> str:
+    """The results files, each with its command, commit and machine load."""
     head = ("file", "command", "commit", "taken at", "took", "load before", "samples")
     body = []
-    for name, r in results.items():
-        load = f"{format_number(r.machine.load)} on {r.machine.cores} cores"
+    for name, file_results in results.items():
+        load = f"{format_number(file_results.machine.load)} on {file_results.machine.cores} cores"
         body.append(
             (
                 name,
-                f"`{DIRECTORY_IN_COMMAND.sub('', r.command)}`",
-                r.commit,
-                r.taken_at,
-                f"{format_number(r.took_s)} s",
+                f"`{DIRECTORY_IN_COMMAND.sub('', file_results.command)}`",
+                file_results.commit,
+                file_results.taken_at,
+                f"{format_number(file_results.took_s)} s",
                 load,
-                str(len(r.samples)),
+                str(len(file_results.samples)),
             )
         )
     return markdown_table(head, body) if body else "No file yet."
 
 
-PREDICTION_RUN_PREFIX = "found-"
+PREDICTION_RUN_PREFIX = "found-"  # of files with runs that test predictions
 
 
 def is_superseded(name: str) -> bool:
-    """Whether a file is of a program that was mended since: before/NAME.json, or NAME-unmended.json."""
+    """Whether a file was measured before a fault was fixed: before/NAME.json, or NAME-unmended.json."""
     return name.startswith("before/") or name.endswith("-unmended.json")
 
 
 def samples_to_fit(results: Mapping[str, Results]) -> list[Sample]:
-    """What fits are made of: all but the runs of predictions, `found-*.json`, which stay apart from them; and
-    of files of before a mend only the quantities that no file of today has."""
+    """The samples that fits are made from.
+
+    Runs that test predictions (`found-*.json`) are left out, and superseded files contribute only quantities
+    that no current file has.
+    """
     names = [name for name in results if not name.startswith(PREDICTION_RUN_PREFIX)]
-    now = [s for name in names if not is_superseded(name) for s in results[name].samples]
-    known = {(s.quantity, s.kind) for s in now}
-    then = [s for name in names if is_superseded(name) for s in results[name].samples]
-    return _without_partial_totals(now) + [s for s in then if (s.quantity, s.kind) not in known]
+    current = [sample for name in names if not is_superseded(name) for sample in results[name].samples]
+    known = {(sample.quantity, sample.kind) for sample in current}
+    superseded = [sample for name in names if is_superseded(name) for sample in results[name].samples]
+    return _without_partial_totals(current) + [
+        sample for sample in superseded if (sample.quantity, sample.kind) not in known
+    ]
 
 
 def _without_partial_totals(samples: Sequence[Sample]) -> list[Sample]:
-    """Without the sums of hollow gateways in runs that left memos out, as large ones do."""
-    sums = ("control_cpu_share", "bytes_in_per_s", "bytes_out_per_s")
-    hollow = [s for s in samples if s.kind == "hollow" and s.role == "gateway"]
-    none = [s for s in hollow if s.quantity == "memo_datagrams_per_s" and not s.value]
-    quiet = {(s.gateways, s.engines, s.subset) for s in none}
-    left = {id(s) for s in hollow if s.quantity in sums and (s.gateways, s.engines, s.subset) in quiet}
-    return [s for s in samples if id(s) not in left]
+    """Drops the totals of hollow gateways in runs without probe reports, as large runs leave them out."""
+    totals = ("control_cpu_share", "bytes_in_per_s", "bytes_out_per_s")
+    hollow = [sample for sample in samples if sample.kind == "hollow" and sample.role == "gateway"]
+    without_reports = [
+        sample for sample in hollow if sample.quantity == "memo_datagrams_per_s" and not sample.value
+    ]
+    sizes_without_reports = {(sample.gateways, sample.engines, sample.subset) for sample in without_reports}
+    dropped = {
+        id(sample)
+        for sample in hollow
+        if sample.quantity in totals
+        and (sample.gateways, sample.engines, sample.subset) in sizes_without_reports
+    }
+    return [sample for sample in samples if id(sample) not in dropped]
 
 
-MIN_IMPROVEMENT_RATIO = 1.5  # times less, at the greatest size that both have, is worth a line
+MIN_IMPROVEMENT_RATIO = 1.5  # smaller improvements, at the largest common size, are not listed
 
 
 def improvements_table(results: Mapping[str, Results], keys: Iterable[MeasurementKey]) -> str:
-    """Quantities that files of before a mend have otherwise than the files of today."""
-    then = FitCache([s for name, r in results.items() if is_superseded(name) for s in r.samples])
-    now, body = FitCache(samples_to_fit(results)), list[list[str]]()
-    for use in keys:
+    """Quantities that improved between superseded and current results files."""
+    superseded = FitCache(
+        [
+            sample
+            for name, file_results in results.items()
+            if is_superseded(name)
+            for sample in file_results.samples
+        ]
+    )
+    current, body = FitCache(samples_to_fit(results)), list[list[str]]()
+    for key in keys:
         try:
-            old, new = then.fit(use), now.fit(use)
+            old, new = superseded.fit(key), current.fit(key)
         except capacity.NotMeasured:
             continue
         common = [size for size in old.sizes if size in new.sizes]
         if not common or not old.at(common[-1])[0] > MIN_IMPROVEMENT_RATIO * new.at(common[-1])[0] > 0:
             continue
-        size = f"{common[-1]:,} {use.grows_with}"
-        was, now_is = (format_quantity(fit.at(common[-1])[0], fit.unit) for fit in (old, new))
-        body.append([use.quantity, _describe_key(use), size, was, old.form, now_is, new.form])
+        size = f"{common[-1]:,} {key.grows_with}"
+        before, after = (format_quantity(fit.at(common[-1])[0], fit.unit) for fit in (old, new))
+        body.append([key.quantity, _describe_key(key), size, before, old.form, after, new.form])
     if not body:
         return "Nothing was mended between two files of results."
     return markdown_table(("quantity", "of", "at", "before", "form", "after", "form"), body)
 
 
 def simulation_table(samples: Sequence[Sample]) -> str:
-    """Processor seconds of a simulated second of the whole fleet, by size."""
-    cells = {(s.gateways, s.note): s for s in samples if s.quantity == "sim_cpu_s"}
+    """CPU seconds per simulated second of the whole fleet, by size."""
+    cells = {(sample.gateways, sample.note): sample for sample in samples if sample.quantity == "sim_cpu_s"}
     notes = list(dict.fromkeys(note for _, note in cells))
     if not notes:
         return f"{NOT_MEASURED}: sim_cpu_s"
     body = []
     for gateways in sorted({gateways for gateways, _ in cells}):
-        found = [cells.get((gateways, note)) for note in notes]
+        row = [cells.get((gateways, note)) for note in notes]
         body.append(
             [
                 f"{gateways:,}",
                 *(
-                    format_estimate(Estimate(s.value, s.low, s.high), s.unit) if s else EMPTY_CELL
-                    for s in found
+                    format_estimate(Estimate(sample.value, sample.low, sample.high), sample.unit)
+                    if sample
+                    else EMPTY_CELL
+                    for sample in row
                 ),
             ]
         )
@@ -668,27 +811,30 @@
 def render_tables(
     results: Mapping[str, Results], predictions: Sequence[Prediction], code_locations: Mapping[str, str]
 ) -> dict[str, str]:
-    """All tables by name."""
+    """Renders all tables; the keys are the names in the markers of the page."""
     samples = samples_to_fit(results)
     figures = FitCache(samples)
-    found = [capacity.evaluate_row(row, figures) for row in rows.ROWS]
+    row_results = [capacity.evaluate_row(row, figures) for row in rows.ROWS]
     facts = [rates.reckon(fact, figures) for fact in rates.FACTS]
-    uses = dict.fromkeys([use for f in found for use in f.used_keys] + [use for r in facts for use in r.used])
-    every: dict[str, Callable[[], str]] = {
+    keys = dict.fromkeys(
+        [key for result in row_results for key in result.used_keys]
+        + [key for result in facts for key in result.used]
+    )
+    renderers: dict[str, Callable[[], str]] = {
         "inputs": inputs_table,
-        "roles": lambda: roles_table(found, figures, code_locations),
-        "slopes": lambda: slopes_table(uses, figures),
+        "roles": lambda: roles_table(row_results, figures, code_locations),
+        "slopes": lambda: slopes_table(keys, figures),
         "rates": lambda: rates_table(facts, figures),
         "regions": lambda: regions_table(samples),
-        "failing": lambda: failing_table(found),
-        "ranking": lambda: ranking_table(found),
-        "mends": lambda: remedies_table(found),
+        "failing": lambda: failing_table(row_results),
+        "ranking": lambda: ranking_table(row_results),
+        "mends": lambda: remedies_table(row_results),
         "subset": lambda: subsets_table(samples),
         "ways": lambda: assignments_table(samples),
-        "mendings": lambda: improvements_table(results, uses),
+        "mendings": lambda: improvements_table(results, keys),
         "agreement": lambda: hollow_comparison_table(samples, figures),
-        "simulation": lambda: simulation_table([s for r in results.values() for s in r.samples]),
+        "simulation": lambda: simulation_table([s for result in results.values() for s in result.samples]),
         "foretold": lambda: predictions_table(predictions, list(results.values())),
         "files": lambda: files_table(results),
     }
-    return {name: make() for name, make in every.items()}
+    return {name: render() for name, render in renderers.items()}
