--- a/whintrail/standins/engine_fleet.py
+++ b/whintrail/standins/engine_fleet.py
@@ -1,7 +1,7 @@
-"""Many stand-in engines on one loop, with faults that are injected and taken back while they serve.
+"""Many fake engines on one event loop, with faults that are injected and cleared while they serve.
 
-For what threads don't scale to: a demonstration, load from thousands of requests a second, and tests that
-hold the gateway's view against what was really injected. The protocol is that of the engines' lines.
+For uses beyond the scale of threads: a demonstration, thousands of requests a second, and tests that compare
+the gateway's view with the injected faults. The fakes implement the engines' line protocol.
 """
 
 import asyncio
@@ -20,16 +20,16 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with an engine now. All of it can change at any time."""
+    """The current faults of an engine; each can change at any time."""
 
-    stalled: bool = False  # takes requests, answers none; probes are answered
-    slower: float = 1.0  # times the usual
-    failing: float = 0.0  # share of requests that end in an error
+    stalled: bool = False  # accepts queries without answering them; probes are answered
+    slower: float = 1.0  # factor on the usual time
+    failing: float = 0.0  # share of queries that end in an error
 
 
 @dataclass(slots=True)
 class Fault:
-    """One that was injected, for comparison with what the gateway made of it. Unix seconds."""
+    """An injected fault, for comparison with what the gateway detects. Times are Unix seconds."""
 
     engine: str
     kind: str
@@ -38,7 +38,7 @@
 
 
 def parse_requests(data: bytearray) -> Iterator[tuple[list[bytes], bytes]]:
-    """The whole requests at the start of the data, each taken from it: its words and the statement."""
+    """Yield the words and the statement of each complete request, and remove it from the data."""
     while (end := data.find(b"\r\n")) >= 0:
         words = bytes(data[:end]).split(b" ")
         length = int(words[3]) + 2 if words[0] == b"do" else 0
@@ -50,14 +50,14 @@
 
 
 class FleetEngine:
-    """Serves what it is sent at once; requests share its cores."""
+    """Runs queries without queueing; concurrent queries share its cores."""
 
     def __init__(self, name: str, cores: float, seed: int) -> None:
         self.name, self.cores, self.faults = name, cores, Faults()
         self.random = random.Random(f"{seed}-{name}")
         self.started_ms = 0
         self.running: dict[tuple[int, bytes], asyncio.TimerHandle | None] = {}
-        self.held_answers: list[tuple[socket.socket, bytes]] = []  # done, but stalled
+        self.held_answers: list[tuple[socket.socket, bytes]] = []  # finished during a stall
         self.sockets: set[socket.socket] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.queries_received = self.queries_answered = 0
@@ -125,15 +125,23 @@
         match words[0]:
             case b"do":
                 self.queries_received += 1
-                # The statement may say what it costs: `... -- cost=MS`.
+                # The statement may state its cost: `... -- cost=MS`.
                 cost_ms = float(body.rpartition(b"cost=")[2] or 5) if b"cost=" in body else 5.0
-                crowd = max(1.0, (len(self.running) + 1) / self.cores)
-                took_s = cost_ms / 1000 * crowd * self.faults.slower * self.random.lognormvariate(-0.1, 0.4)
+                queries_per_core = max(1.0, (len(self.running) + 1) / self.cores)
+                duration_s = (
+                    cost_ms
+                    / 1000
+                    * queries_per_core
+                    * self.faults.slower
+                    * self.random.lognormvariate(-0.1, 0.4)
+                )
                 key = (sock.fileno(), words[1])
                 later = asyncio.get_running_loop().call_later
-                self.running[key] = later(took_s, self._finish_query, sock, key)
-                if took_s > PROGRESS_INTERVAL_S:
-                    later(PROGRESS_INTERVAL_S, self._report_progress, sock, key, took_s, PROGRESS_INTERVAL_S)
+                self.running[key] = later(duration_s, self._finish_query, sock, key)
+                if duration_s > PROGRESS_INTERVAL_S:
+                    later(
+                        PROGRESS_INTERVAL_S, self._report_progress, sock, key, duration_s, PROGRESS_INTERVAL_S
+                    )
             case b"undo":
                 self._cancel_query((sock.fileno(), words[1]))
             case b"ping" | b"top":
@@ -146,19 +154,24 @@
             timer.cancel()
 
     def _report_progress(
-        self, sock: socket.socket, key: tuple[int, bytes], took_s: float, passed_s: float
+        self, sock: socket.socket, key: tuple[int, bytes], duration_s: float, elapsed_s: float
     ) -> None:
-        if key in self.running and not self.faults.stalled and passed_s < took_s:
-            self._send_reply(sock, key[1], b"update", b"how=done,datum=%.3f" % (passed_s / took_s))
+        if key in self.running and not self.faults.stalled and elapsed_s < duration_s:
+            self._send_reply(sock, key[1], b"update", b"how=done,datum=%.3f" % (elapsed_s / duration_s))
             asyncio.get_running_loop().call_later(
-                PROGRESS_INTERVAL_S, self._report_progress, sock, key, took_s, passed_s + PROGRESS_INTERVAL_S
+                PROGRESS_INTERVAL_S,
+                self._report_progress,
+                sock,
+                key,
+                duration_s,
+                elapsed_s + PROGRESS_INTERVAL_S,
             )
 
     def _finish_query(self, sock: socket.socket, key: tuple[int, bytes]) -> None:
         if key not in self.running:
             return
         if self.faults.stalled:
-            self.running[key] = None  # it goes on holding what it was sent
+            self.running[key] = None  # still counts as busy
             self.held_answers.append((sock, key[1]))
             return
         del self.running[key]
@@ -169,7 +182,7 @@
             self._send_reply(sock, key[1], b"served", b"total=1,elapsed=5.0,rss=8", ROWS)
 
     def end_stall(self) -> None:
-        """The end of a stall: what it still holds is answered, within a little while."""
+        """End a stall: the held queries are answered after a short random delay."""
         self.faults.stalled = False
         for sock, id in self.held_answers:
             key = (sock.fileno(), id)
@@ -190,12 +203,12 @@
             sent = 0
         except OSError:
             return
-        if sent < len(data):  # the gateway doesn't read: a stand-in needs no better than to hang up
+        if sent < len(data):  # the gateway doesn't read: a fake may simply hang up
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
     def crash(self) -> None:
-        """As a process that is killed: connections reset, new ones refused."""
+        """Reset all connections and refuse new ones, as when the process is killed."""
         self.listener.close()
         for sock in list(self.sockets):
             with suppress(OSError):
@@ -220,7 +233,7 @@
 
 @dataclass(slots=True)
 class FleetBulletin:
-    """Tells the list of engines to every gateway that asks."""
+    """A fake bulletin: publishes the list of engines to every gateway that watches it."""
 
     events: list[dict[str, object]] = field(default_factory=list)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -232,8 +245,8 @@
         self.port = self.listener.getsockname()[1]
         self._start_task(self._accept_connections(self.listener))
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -252,15 +265,15 @@
         loop, chunk = asyncio.get_running_loop(), bytearray(64)
         with suppress(OSError, ValueError):
             count = await loop.sock_recv_into(sock, chunk)
-            last = int(bytes(chunk[:count]).split()[1])
-            beat = 0.0
+            last_sent = int(bytes(chunk[:count]).split()[1])
+            next_heartbeat = 0.0
             while True:
-                for event in self.events[last:]:
+                for event in self.events[last_sent:]:
                     await loop.sock_sendall(sock, json.dumps(event).encode() + b"\n")
-                    last += 1
-                if loop.time() > beat:
-                    await loop.sock_sendall(sock, b"%d\n" % last)
-                    beat = loop.time() + 0.5
+                    last_sent += 1
+                if loop.time() > next_heartbeat:
+                    await loop.sock_sendall(sock, b"%d\n" % last_sent)
+                    next_heartbeat = loop.time() + 0.5
                 await asyncio.sleep(0.02)
         sock.close()
 
@@ -274,7 +287,7 @@
 
 
 class EngineFleet:
-    """Engines and their bulletin, and a log of the faults injected."""
+    """Fake engines with their bulletin, and a log of the injected faults."""
 
     def __init__(self, count: int, cores: float = 16.0, seed: int = 1) -> None:
         self.engines = [FleetEngine(f"s-{number}", cores, seed) for number in range(1, count + 1)]
@@ -284,7 +297,7 @@
         self.fault_log: list[Fault] = []
 
     def inject_fault(self, index: int, kind: str, value: float = 1.0) -> Fault:
-        """Inject `stalled`, `slower` (times) or `failing` (share)."""
+        """Inject `stalled`, `slower` (a factor) or `failing` (a share)."""
         engine = self.engines[index]
         setattr(engine.faults, kind, True if kind == "stalled" else value)
         fault = Fault(engine.name, kind, time())
@@ -300,7 +313,7 @@
         fault.ended_at = time()
 
     def config(self, listen: str, name: str = "n0", sockets: int = 1024) -> dict[str, object]:
-        """A configuration for a gateway in front of this fleet."""
+        """Return the configuration of a gateway in front of these engines."""
         from whintrail.standins.scripted import settings
 
         return {
--- a/whintrail/standins/fleet_simulation.py
+++ b/whintrail/standins/fleet_simulation.py
@@ -1,7 +1,8 @@
-"""A fleet of `whintrail.fleet` nodes in simulated time: hundreds of gateways in one, replayable by seed.
+"""Deterministic simulation of a fleet of `whintrail.fleet` nodes: hundreds of gateways in one process.
 
-The cores are the real ones, and every datagram is encoded and decoded. Each process has a monotonic clock of
-its own, off by an offset and a drift. A fault is a function of sender, receiver and chance, as the relay's.
+The nodes are the real ones, and every datagram is encoded and decoded. Each simulated process has its own
+monotonic clock with an offset and a drift. A fault is a function of sender, receiver and random source, as in
+`gateway_fleet.Relay`. A run can be replayed by its seed.
 """
 
 from collections import Counter
@@ -17,20 +18,24 @@
 from whintrail.versions.rules import Rules, find_unsupported
 
 TICK_US = 50_000
-Fault = Callable[[int, int, Random], list[float]]
+START_UNIX_S = 1_000_000  # Unix time at which the simulation begins
+MIN_LATENCY_US = 200
+LATENCY_JITTER_US = 1000
+Fault = Callable[[int, int, Random], list[float]]  # sender, receiver, random: delay of each delivered copy
 
 
 def deliver_once(origin: int, target: int, random: Random) -> list[float]:
+    """Return the delays of a network without faults: one copy, at once."""
     return [0.0]
 
 
 @dataclass(slots=True)
 class Process:
-    """One life of a gateway, and what it does for itself."""
+    """One incarnation of a gateway: its clock, its simulated load and its node."""
 
     number: int
     boot_id: int
-    started_at: int  # by the world's clock, as all below
+    started_at: int  # in simulated time, as all times below
     offset: int
     drift: float
     build: str
@@ -42,11 +47,11 @@
     peers: int = 0
     node: FleetNode | None = None
     paused_until: int = 0
-    delayed_datagrams: list[tuple[int, bytes]] = field(default_factory=list)  # that came while it stood still
+    delayed_datagrams: list[tuple[int, bytes]] = field(default_factory=list)  # received while paused
     current_us: int = 0
     outcome_tally: list[int] = field(default_factory=lambda: [0, 0, 0, 0])
     counted_at: int = 0
-    next_tick: Callable[[], None] = lambda: None  # its next tick, made once
+    next_tick: Callable[[], None] = lambda: None  # created once and scheduled for every tick
 
     def clock(self, now: int) -> int:
         return self.offset + int((now - self.started_at) * (1 + self.drift))
@@ -58,21 +63,22 @@
         return self.open_attempts_at(self.number, engine)
 
     def outcome_counts(self) -> tuple[tuple[int, int, int, int], ...]:
-        taken = int((self.current_us - self.counted_at) / 1e6 * self.queries_per_s)
-        if taken:
+        queries = int((self.current_us - self.counted_at) / 1e6 * self.queries_per_s)
+        if queries:
             self.counted_at = self.current_us
             shares = self.failure_shares_of(self.build)
-            bad = [sum(self.random.random() < share for _ in range(taken)) for share in shares]
-            for place, more in enumerate((taken, *bad)):
-                self.outcome_tally[place] += more
+            failures = [sum(self.random.random() < share for _ in range(queries)) for share in shares]
+            for index, count in enumerate((queries, *failures)):
+                self.outcome_tally[index] += count
         return ((self.outcome_tally[0], self.outcome_tally[1], self.outcome_tally[2], self.outcome_tally[3]),)
 
-    # The node calls it by this name.
     def engine_availability(self) -> dict[str, EngineAvailability]:
         return self.engines
 
 
 class LocalState:
+    """What a fleet node reads of its own gateway."""
+
     def __init__(self, process: Process) -> None:
         self.process = process
         self.serving_ms, self.open_attempts = process.serving_ms, process.open_attempts
@@ -83,6 +89,8 @@
 
 
 class FleetSimulation:
+    """The simulated processes, their network and the event queue that drives them."""
+
     def __init__(
         self,
         config_for: Callable[[int, str], FleetConfig],
@@ -92,7 +100,7 @@
         drift: float = 0.0,
         tick_us: int = TICK_US,
     ) -> None:
-        """`given`: the settings of a gateway on a build; all start with build `old`."""
+        """`config_for` returns the settings of a gateway by number and build; all start with build `old`."""
         self.config_for, self.count, self.random = config_for, count, Random(seed)
         self.engines = engines or {}
         self.fault: Fault = deliver_once
@@ -105,11 +113,11 @@
         self.queries_per_s = 5.0
         self.processes: list[Process | None] = [None] * count
         self.log_lines: list[tuple[int, int, str, dict[str, object]]] = []
-        self.sent, self.sent_bytes = Counter[int](), Counter[int]()  # one for all of the fleet counts as one
+        self.sent, self.sent_bytes = Counter[int](), Counter[int]()  # a broadcast counts once
         self.sent_copies, self.sent_copy_bytes = (
             [0] * count,
             [0] * count,
-        )  # counts once for each that it is sent to
+        )  # a broadcast counts once a receiver
         self.received, self.received_bytes = [0] * count, [0] * count
         for number in range(count):
             self.start(number, "old")
@@ -121,16 +129,16 @@
         heappush(self.queue, (time_us, self.events_scheduled, callback))
 
     def run(self, seconds: float, condition: Callable[[], bool] | None = None) -> bool:
-        """Go on for so long, or until something holds: whether it does."""
+        """Run for so long, or until the condition holds; return whether it holds in the end."""
         end = self.now + int(seconds * 1e6)
-        # What is waited for often looks at all of the fleet, and its size has as many more events.
-        check, every = 0, max(16, self.count // 8)
+        # Conditions often read the whole fleet, and a larger fleet has more events: check less often there.
+        events, check_every = 0, max(16, self.count // 8)
         while self.queue and self.queue[0][0] <= end:
-            when, _, what = heappop(self.queue)
-            self.now = max(self.now, when)
-            what()
-            check += 1
-            if condition is not None and check % every == 0 and condition():
+            time_us, _, callback = heappop(self.queue)
+            self.now = max(self.now, time_us)
+            callback()
+            events += 1
+            if condition is not None and events % check_every == 0 and condition():
                 return True
         self.now = end
         return condition() if condition is not None else True
@@ -138,7 +146,7 @@
     # --- Processes.
 
     def start(self, number: int, build: str = "old") -> Process:
-        """From nothing, under its number."""
+        """Start a new process without state under this number."""
         process = Process(
             number,
             self.random.getrandbits(31) | 1,
@@ -156,12 +164,12 @@
         process.node = FleetNode(
             self.config_for(number, build),
             process.boot_id,
-            1_000_000 + self.now // 1_000_000,
+            START_UNIX_S + self.now // 1_000_000,
             process.clock(self.now),
             Random(self.random.getrandbits(32)),
             LocalState(process),
             lambda: self.now // 1000,
-            lambda what, more: self.log_lines.append((self.now, number, what, more)),
+            lambda event, fields: self.log_lines.append((self.now, number, event, fields)),
         )
         self.processes[number] = process
         process.next_tick = partial(self._tick, process)
@@ -169,7 +177,7 @@
         return process
 
     def assume_all_known(self) -> None:
-        """All know one another from now on, as in a fleet that has long been up; each tells of itself yet."""
+        """Make all members known to one another, as in a long-running fleet; each still announces itself."""
         nodes = [
             process.node for process in self.processes if process is not None and process.node is not None
         ]
@@ -181,7 +189,7 @@
         self.processes[number] = None
 
     def pause(self, number: int, seconds: float) -> None:
-        """Stands still, as under SIGSTOP; what comes waits."""
+        """Suspend a process, as SIGSTOP does; its datagrams are delivered afterwards."""
         process = self.processes[number]
         if process is not None:
             process.paused_until = self.now + int(seconds * 1e6)
@@ -195,16 +203,16 @@
         return [p.number for p in self.processes if p is not None]
 
     def leader(self) -> int | None:
-        """Who leads in the newest epoch and term."""
+        """Return the leader of the newest epoch and term."""
         found = []
         for number in self.running_numbers():
-            council = self.node(number).consensus
-            if council is not None and self.node(number).is_leader:
-                found.append((council.epoch, council.term, number))
+            consensus = self.node(number).consensus
+            if consensus is not None and self.node(number).is_leader:
+                found.append((consensus.epoch, consensus.term, number))
         return max(found)[2] if found else None
 
     def state(self) -> FleetState:
-        """The furthest that anybody knows."""
+        """Return the most advanced replicated state of any running node."""
         return max((self.node(n).replica for n in self.running_numbers()), key=lambda r: r.position).state
 
     def clock(self, number: int) -> int:
@@ -224,8 +232,8 @@
         process.current_us = self.now
         clock = process.clock(self.now)
         if process.delayed_datagrams:
-            mail, process.delayed_datagrams = process.delayed_datagrams, []
-            for origin, data in mail:
+            delayed, process.delayed_datagrams = process.delayed_datagrams, []
+            for origin, data in delayed:
                 node.receive(clock, origin, data)
         node.tick(clock)
         self.flush(process)
@@ -240,10 +248,10 @@
             targets = [n for n in range(self.count) if n != origin] if target is None else (target,)
             self.sent_copies[origin] += len(targets)
             self.sent_copy_bytes[origin] += len(targets) * len(data)
-            for each in targets:
-                for delay in self.fault(origin, each, self.random):
-                    after = int(delay * 1e6) + 200 + self.random.randrange(1000)
-                    self.schedule(self.now + after, partial(self._deliver, origin, each, data))
+            for receiver in targets:
+                for delay in self.fault(origin, receiver, self.random):
+                    latency_us = int(delay * 1e6) + MIN_LATENCY_US + self.random.randrange(LATENCY_JITTER_US)
+                    self.schedule(self.now + latency_us, partial(self._deliver, origin, receiver, data))
 
     def _deliver(self, origin: int, target: int, data: bytes) -> None:
         process = self.processes[target]
--- a/whintrail/standins/gateway_fleet.py
+++ b/whintrail/standins/gateway_fleet.py
@@ -1,7 +1,8 @@
-"""Several gateways of one fleet, with a relay between them that every datagram passes.
+"""Gateway processes of one fleet, with a fault-injecting relay between them that every datagram passes.
 
-Each gateway knows the others by addresses of the relay, so that it can lose, delay, double and cut what they
-tell one another, one way or both, and count it. Loopback only; a thread of its own, every wait bounded.
+Each gateway knows the others by addresses of the relay, which can drop, delay, duplicate and count datagrams
+and partition the fleet, in one direction or both. Loopback only; the relay runs on its own thread, and every
+wait is bounded.
 """
 
 import heapq
@@ -20,16 +21,17 @@
 
 from whintrail.standins.scripted import Bulletin, Client, Engine, Gateway, listener, settings, wait_for
 
-OperatorFile = Callable[[int, str], dict[str, Any]]
-Fault = Callable[[int, int, Random], list[float]]  # from, to: after how many seconds each copy arrives
+OperatorFile = Callable[[int, str], dict[str, Any]]  # content by number and build
+Fault = Callable[[int, int, Random], list[float]]  # sender, receiver, random: delay of each copy in seconds
 
 
 def deliver_once(origin: int, target: int, random: Random) -> list[float]:
+    """Return the delays of a network without faults: one copy, at once."""
     return [0.0]
 
 
 def lossy(loss_share: float, max_delay_s: float = 0.0, duplicate_share: float = 0.0) -> Fault:
-    """So many are lost, others doubled, and each copy takes up to so long: they overtake one another."""
+    """Drop and duplicate shares of the datagrams; random delays reorder the rest."""
 
     def fault(origin: int, target: int, random: Random) -> list[float]:
         if random.random() < loss_share:
@@ -40,10 +42,10 @@
 
 
 def partition(*groups: set[int]) -> Fault:
-    """Only within a part do they hear one another."""
+    """Deliver datagrams only within a group."""
 
     def fault(origin: int, target: int, random: Random) -> list[float]:
-        return [0.0] if any(origin in part and target in part for part in groups) else []
+        return [0.0] if any(origin in group and target in group for group in groups) else []
 
     return fault
 
@@ -56,14 +58,14 @@
 
 
 class Relay:
-    """Stands for each gateway towards all others, and for all of them at once."""
+    """Forwards datagrams between gateways: one socket in place of each gateway, one for broadcasts."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.random = Random(seed)
         self.fault: Fault = deliver_once
-        self.front_sockets = [datagram_socket() for _ in range(count)]  # as what the others see the gateway
+        self.front_sockets = [datagram_socket() for _ in range(count)]  # known to the other gateways
         self.broadcast_socket = datagram_socket()
-        self.gateway_addresses: list[tuple[str, int]] = []  # where the gateways really listen
+        self.gateway_addresses: list[tuple[str, int]] = []  # where the gateways listen
         for _ in range(count):
             with datagram_socket() as free:
                 self.gateway_addresses.append(free.getsockname())
@@ -87,9 +89,9 @@
             while not self.stop_event.is_set():
                 for key, _ in selector.select(0.002 if self.queue else 0.02):
                     with suppress(BlockingIOError, ConnectionRefusedError):
-                        data, home = key.fileobj.recvfrom(2048)  # type: ignore[union-attr]
-                        if home in self.gateway_addresses:
-                            self._schedule(self.gateway_addresses.index(home), key.data, data)
+                        data, sender = key.fileobj.recvfrom(2048)  # type: ignore[union-attr]
+                        if sender in self.gateway_addresses:
+                            self._schedule(self.gateway_addresses.index(sender), key.data, data)
                 while self.queue and self.queue[0][0] <= time.monotonic():
                     self._deliver(*heapq.heappop(self.queue)[2:])
 
@@ -97,15 +99,15 @@
         targets = (
             [n for n in range(len(self.gateway_addresses)) if n != origin] if target is None else [target]
         )
-        for each in targets:
-            for delay in self.fault(origin, each, self.random):
+        for receiver in targets:
+            for delay in self.fault(origin, receiver, self.random):
                 self.copies_scheduled += 1
                 heapq.heappush(
-                    self.queue, (time.monotonic() + delay, self.copies_scheduled, origin, each, data)
+                    self.queue, (time.monotonic() + delay, self.copies_scheduled, origin, receiver, data)
                 )
 
     def _deliver(self, origin: int, target: int, data: bytes) -> None:
-        with suppress(OSError):  # it may be down
+        with suppress(OSError):  # the receiver may be down
             self.front_sockets[origin].sendto(data, self.gateway_addresses[target])
             self.delivered[origin, target] += 1
             self.delivered_bytes += len(data)
@@ -118,7 +120,7 @@
 
 
 class GatewayFleet:
-    """Gateways of the program with their engines, their bulletin and the relay between them."""
+    """Gateway processes with their engines, their bulletin and the relay between them."""
 
     def __init__(
         self,
@@ -129,14 +131,12 @@
         zones: int = 1,
         **limits: Any,
     ) -> None:
-        """`operator`: the operator's file of a gateway, by its number and build."""
+        """`operator` returns the content of a gateway's operator file by its number and build."""
         self.operator, self.zones = operator, [f"z{number + 1}" for number in range(zones)]
         self.engines, self.bulletin, self.relay = engines, Bulletin(), Relay(count)
         self.bulletin.publish(*(engine.entry() for engine in engines), reset=True)
         self.folder, self.limits = folder, limits
-        self.bulletin_overrides: dict[
-            int, Bulletin
-        ] = {}  # of gateways that follow another than the rest, once started anew
+        self.bulletin_overrides: dict[int, Bulletin] = {}  # by gateway; takes effect at its next start
         self.ports: list[int] = []
         for _ in range(count):
             with listener() as free:
@@ -146,22 +146,22 @@
             wait_for(lambda number=number: self.is_ready(number))  # type: ignore[misc]
 
     def start(self, number: int, build: str = "") -> Gateway:
-        """A gateway from nothing, under its old name and addresses."""
-        home, relay = self.relay.gateway_addresses[number], self.relay
+        """Start a gateway without state under its name and addresses."""
+        address, relay = self.relay.gateway_addresses[number], self.relay
         bulletin = self.bulletin_overrides.get(number, self.bulletin)
-        given = settings(MayTell=True, **self.limits)
+        base_settings = settings(MayTell=True, **self.limits)
         config = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{self.ports[number]}",
             "seed": f"{number + 1:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-            "peer_listen": f"{home[0]}:{home[1]}",
+            "peer_listen": f"{address[0]}:{address[1]}",
             "peers": [relay.address_of(sock) for sock in relay.front_sockets],
             "peers_all": relay.address_of(relay.broadcast_socket),
             "bulletin": bulletin.address,
             "known": {"no": len(bulletin.events), "items": list(bulletin.events)},
             "settings": {
-                **given,
+                **base_settings,
                 "FleetSize": len(self.ports),
                 "Me": number,
                 "Zones": self.zones,
@@ -199,10 +199,11 @@
 
 
 @contextmanager
-def fleet(count: int, *engines: Engine, **more: Any) -> Iterator[GatewayFleet]:
+def fleet(count: int, *engines: Engine, **options: Any) -> Iterator[GatewayFleet]:
+    """Run a fleet of gateways for the length of a `with` block."""
     with tempfile.TemporaryDirectory() as folder:
-        given = GatewayFleet(Path(folder), count, list(engines) or [Engine()], **more)
+        gateways = GatewayFleet(Path(folder), count, list(engines) or [Engine()], **options)
         try:
-            yield given
+            yield gateways
         finally:
-            given.close()
+            gateways.close()
--- a/whintrail/standins/load_generator.py
+++ b/whintrail/standins/load_generator.py
@@ -1,4 +1,4 @@
-"""Clients on one loop: a stated rate of queries in the PostgreSQL protocol, and what came of them."""
+"""Open-loop load generator: PostgreSQL clients on one event loop, and the outcomes of their queries."""
 
 import asyncio
 import socket
@@ -14,7 +14,7 @@
 
 
 class LoadClient:
-    """One session that is used again and again."""
+    """A client that reuses one session."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -30,7 +30,7 @@
         await self._read_until_ready()
 
     async def _read_until_ready(self) -> bytes:
-        """All messages up to ReadyForQuery."""
+        """Return all messages up to ReadyForQuery."""
         loop, data = asyncio.get_running_loop(), bytearray()
         assert self.sock is not None
         while True:
@@ -42,7 +42,7 @@
                 return bytes(data)
 
     async def run_query(self, text: str) -> str:
-        """`served`, or the SQLSTATE."""
+        """Run a query and return `served` or the SQLSTATE."""
         loop = asyncio.get_running_loop()
         if self.sock is None:
             await self.open()
@@ -62,7 +62,7 @@
 
 
 class LoadGenerator:
-    """Open-loop arrivals at `rate` a second (Poisson); `mix` holds (class, cost in ms, weight)."""
+    """Sends queries at Poisson arrivals of `rate` a second; `mix` holds (class, cost in ms, weight)."""
 
     def __init__(self, port: int, rate: float, mix: list[tuple[str, float, float]], seed: int = 1) -> None:
         self.port, self.rate, self.mix = port, rate, mix
@@ -92,16 +92,16 @@
         client = self.idle_clients.pop() if self.idle_clients else LoadClient(self.port)
         started = perf_counter()
         try:
-            end = await client.run_query(
+            outcome = await client.run_query(
                 f"/* op={name},call={call},ttl={ttl_ms},work={cost:.1f},memory=8 */"
                 f" SELECT 1 FROM sales_{self.random.randrange(50)}.t -- cost={cost}"
             )
             self.idle_clients.append(client)
         except OSError:
             client.close()
-            end = "lost"
-        self.outcomes[end] += 1
-        if end == "served":
+            outcome = "lost"
+        self.outcomes[outcome] += 1
+        if outcome == "served":
             self.latencies_s.append(perf_counter() - started)
 
     def close(self) -> None:
@@ -111,7 +111,7 @@
 
 
 async def wait_until_serving(port: int, max_tries: int = 200) -> bool:
-    """Connect until the gateway answers a start-up; False if it never does."""
+    """Connect until the gateway completes a startup; return False if it never does."""
     for _ in range(max_tries):
         client = LoadClient(port)
         try:
