--- a/whintrail/standins/once_audit.py
+++ b/whintrail/standins/once_audit.py
@@ -1,9 +1,10 @@
 """Audits from the engines' side that work which may run only once is sent only once.
 
-Gateways are real processes that are told to end, are killed and come again, while engines reset connections,
-cut answers, contradict themselves and fall silent, the list drains them, and clients leave, cancel and ask
-again as clients may: after a refusal, where no connection comes up, or once where a close crosses the request
-(a process that is killed closes nothing, and may have sent it on). All is drawn from a seed, but for timing.
+Gateways are real processes that are terminated, killed and restarted. Meanwhile engines reset connections,
+truncate answers, contradict themselves and fall silent; the bulletin drains them; clients leave, cancel and
+retry. A client retries only where it may: after a refusal, after a failed connect, or once if a close crossed
+the request (not with a killed process: it closes nothing in order, and may have forwarded the request).
+Everything but the timing is drawn from a seed.
 """
 
 import asyncio
@@ -26,8 +27,10 @@
 from whintrail.standins.load_generator import startup_message
 from whintrail.standins.scripted import Gateway, configuration, listener
 
-DEDUPLICATION_WINDOW_S, CROSSING_CLOSE_S, DEPARTURE_GRACE_S = 0.6, 0.05, 0.1
-# What a request meets, with weights; only the first two have not run.
+DEDUPLICATION_WINDOW_S = 0.6
+CROSSING_CLOSE_S = 0.05  # a close within this time of the request counts as crossing it
+DEPARTURE_GRACE_S = 0.1
+# How an engine responds to a query, with weights; only the first two are proof that it has not run.
 RESPONSE_WEIGHTS = {
     "overload": 3,
     "nobody": 1,
@@ -47,29 +50,23 @@
 
 @dataclass(slots=True)
 class OnceAudit:
-    """What engines got whole, by the work that a client wanted done."""
-
-    once_starts: dict[int, list[float]] = field(
-        default_factory=dict
-    )  # of once-only work, where it may have run
-    keyed_starts: dict[bytes, list[float]] = field(default_factory=dict)  # of keyed queries, by id
-    departed_at: dict[int, float] = field(
-        default_factory=dict
-    )  # when the client of a work closed or cancelled
+    """The times of complete queries at engines, by the unit of work that a client wanted done."""
+
+    once_starts: dict[int, list[float]] = field(default_factory=dict)  # once-only work that may have run
+    keyed_starts: dict[bytes, list[float]] = field(default_factory=dict)  # keyed queries, by call id
+    departed_at: dict[int, float] = field(default_factory=dict)  # close or cancel, by work
     duplicates: list[int] = field(default_factory=list)
     late_repeats: list[bytes] = field(default_factory=list)
-    starts_after_departure: list[float] = field(
-        default_factory=list
-    )  # how long after its client had gone one began
+    starts_after_departure: list[float] = field(default_factory=list)  # seconds after the departure
     outcomes: Counter[str] = field(default_factory=Counter)
 
     def record_request(self, kind: bytes, work_id: int, call: bytes, may_have_run: bool) -> None:
         now = monotonic()
-        if (gone := self.departed_at.get(work_id)) is not None and now - gone > DEPARTURE_GRACE_S:
-            self.starts_after_departure.append(now - gone)
+        if (departed := self.departed_at.get(work_id)) is not None and now - departed > DEPARTURE_GRACE_S:
+            self.starts_after_departure.append(now - departed)
         if kind == b"once":
-            before = self.once_starts.get(work_id)
-            if before:
+            earlier = self.once_starts.get(work_id)
+            if earlier:
                 self.duplicates.append(work_id)
             if may_have_run:
                 self.once_starts.setdefault(work_id, []).append(now)
@@ -82,7 +79,7 @@
 
 
 class AuditedEngine(FleetEngine):
-    """Takes what comes, tells the audit, and then does what the seed says."""
+    """Records each query with the audit, and responds to it at random by the seed."""
 
     def __init__(self, name: str, seed: int, audit: OnceAudit) -> None:
         super().__init__(name, 16.0, seed)
@@ -93,34 +90,36 @@
             super()._handle_request(sock, words, body)
             return
         kind, work = body.rpartition(b"-- ")[2].split(b"=")
-        meets = self.random.choices(list(RESPONSE_WEIGHTS), list(RESPONSE_WEIGHTS.values()))[0]
-        self.audit.record_request(kind, int(work), words[1], meets not in ("overload", "nobody"))
+        response = self.random.choices(list(RESPONSE_WEIGHTS), list(RESPONSE_WEIGHTS.values()))[0]
+        self.audit.record_request(kind, int(work), words[1], response not in ("overload", "nobody"))
         asyncio.get_running_loop().call_later(
-            self.random.uniform(0.0, 0.03), self._respond, sock, words[1], meets
+            self.random.uniform(0.0, 0.03), self._respond, sock, words[1], response
         )
 
     def _respond(self, sock: socket.socket, id: bytes, response: str) -> None:
-        later = asyncio.get_running_loop().call_later
-        good = b"total=1,elapsed=5.0,rss=8"
+        call_later = asyncio.get_running_loop().call_later
+        served_fields = b"total=1,elapsed=5.0,rss=8"
         match response:
             case "overload" | "nobody" | "crashed":
                 self._send_reply(sock, id, response.encode(), b"-")
             case "served":
-                self._send_reply(sock, id, b"served", good, ROWS)
+                self._send_reply(sock, id, b"served", served_fields, ROWS)
             case "late":
-                later(self.random.uniform(0.2, 1.5), self._send_reply, sock, id, b"served", good, ROWS)
+                call_later(
+                    self.random.uniform(0.2, 1.5), self._send_reply, sock, id, b"served", served_fields, ROWS
+                )
             case "twice":
-                self._send_reply(sock, id, b"served", good, ROWS)
-                later(0.005, self._send_reply, sock, id, b"served", good, ROWS)
+                self._send_reply(sock, id, b"served", served_fields, ROWS)
+                call_later(0.005, self._send_reply, sock, id, b"served", served_fields, ROWS)
             case "reset":
                 self._reset_connection(sock)
             case "reset later":
-                later(self.random.uniform(0.1, 1.5), self._reset_connection, sock)
+                call_later(self.random.uniform(0.1, 1.5), self._reset_connection, sock)
             case "half" | "cut":
                 with suppress(OSError):
                     sock.send(b"%b served total=1 %d\r\n%b" % (id, len(ROWS), ROWS[:9]))
                 if response == "cut":
-                    later(0.01, self._reset_connection, sock)
+                    call_later(0.01, self._reset_connection, sock)
             case "noted, then nobody":
                 self._send_reply(sock, id, b"update", b"how=done,datum=0.3")
                 self._send_reply(sock, id, b"nobody", b"-")
@@ -131,11 +130,11 @@
     def _reset_connection(self, sock: socket.socket) -> None:
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            sock.shutdown(socket.SHUT_RD)  # its reader ends, and closes it with a reset
+            sock.shutdown(socket.SHUT_RD)  # ends its reader, which closes the socket with a reset
 
 
 class AuditedClient:
-    """Asks for one work after another, and again only where a client may."""
+    """Requests one unit of work after another, and retries only where a client may."""
 
     def __init__(self, scenario: "Scenario", number: int) -> None:
         self.scenario, self.audit, self.random = scenario, scenario.audit, Random(f"{scenario.seed}-{number}")
@@ -155,17 +154,17 @@
         self._close()
 
     async def _run_work(self, kind: str, work_id: int) -> None:
-        crossed = False
+        has_retried_close = False
         for _ in range(6):
             try:
-                end = await self._send_query(kind, work_id)
+                outcome = await self._send_query(kind, work_id)
             except ConnectionRefusedError:
                 await asyncio.sleep(0.05)
                 continue
-            self.audit.outcomes[end] += 1
-            if end == "closed at once" and not crossed:
-                crossed = True
-            elif end not in ("53000", "57P03"):
+            self.audit.outcomes[outcome] += 1
+            if outcome == "closed at once" and not has_retried_close:
+                has_retried_close = True
+            elif outcome not in ("53000", "57P03"):
                 return
             await asyncio.sleep(self.random.uniform(0.0, 0.1))
 
@@ -175,7 +174,7 @@
             f"/* op={kind},call={call},ttl=2500 */ SELECT 1 FROM a_1.t -- {kind}={work_id}".encode() + b"\0"
         )
         data = b"Q" + struct.pack("!I", len(text) + 4) + text
-        readies = 1
+        ready_count = 1
         if self.sock is None:
             self.sock = socket.socket()
             self.sock.setblocking(False)
@@ -185,38 +184,38 @@
             except OSError:
                 self._close()
                 raise ConnectionRefusedError from None
-            data, readies = startup_message() + data, 2
-        sent = monotonic()
+            data, ready_count = startup_message() + data, 2
+        sent_at = monotonic()
         try:
             await loop.sock_sendall(self.sock, data)
             async with asyncio.timeout(self._choose_timeout_s()):
-                got = await self._read_until_ready(readies)
+                answer = await self._read_until_ready(ready_count)
         except TimeoutError:
             return await self._abandon_query(work_id)
         except OSError:
             self._close()
-            crossed = monotonic() - sent < CROSSING_CLOSE_S and self.port not in self.scenario.killed
+            crossed = monotonic() - sent_at < CROSSING_CLOSE_S and self.port not in self.scenario.killed
             return "closed at once" if crossed else "closed"
-        if (at := got.find(b"SERROR\0")) >= 0:
-            at = got.index(b"C", at + 7)
-            return got[at + 1 : at + 6].decode()
+        if (position := answer.find(b"SERROR\0")) >= 0:
+            position = answer.index(b"C", position + 7)
+            return answer[position + 1 : position + 6].decode()
         return "served"
 
     def _choose_timeout_s(self) -> float:
         return self.random.uniform(0.0, 0.5) if self.random.random() < 0.3 else 6.0
 
     async def _abandon_query(self, work_id: int) -> str:
-        """Stop waiting: with a cancel request ahead, or by a close alone."""
+        """Stop waiting, by a close with or without a cancel request before it."""
         assert self.sock is not None
         if self.cancel_key and self.random.random() < 0.5:
-            other = socket.socket()
-            other.setblocking(False)
+            cancel_socket = socket.socket()
+            cancel_socket.setblocking(False)
             with suppress(OSError):
-                await asyncio.get_running_loop().sock_connect(other, self.sock.getpeername())
-                other.send(struct.pack("!II", 16, 80877102) + self.cancel_key)
+                await asyncio.get_running_loop().sock_connect(cancel_socket, self.sock.getpeername())
+                cancel_socket.send(struct.pack("!II", 16, 80877102) + self.cancel_key)
             self.audit.departed_at[work_id] = monotonic()
             await asyncio.sleep(0.05)
-            other.close()
+            cancel_socket.close()
         self._close()
         self.audit.departed_at.setdefault(work_id, monotonic())
         return "left"
@@ -240,7 +239,7 @@
 
 
 class Scenario:
-    """One seed: two gateways at a time, three engines, some clients."""
+    """The run of one seed: two gateways at a time, three engines, and clients."""
 
     def __init__(
         self, seed: int, folder: Path, make_gateway: Callable[[dict[str, Any], Path], Gateway]
@@ -258,13 +257,15 @@
         return [{**base, "Name": "once", "Effect": "once"}, {**base, "Name": "keyed", "Effect": "by_key"}]
 
     async def start_gateway(self) -> None:
-        with listener() as free:
-            port: int = free.getsockname()[1]
+        with listener() as free_socket:
+            port: int = free_socket.getsockname()[1]
         self.gateways_started += 1
         folder = self.folder / str(self.gateways_started)
         folder.mkdir()
-        where = f"127.0.0.1:{self.bulletin.port}"
-        config = configuration(f"n{self.gateways_started}", port, where, self.bulletin.events[:1], 256)
+        bulletin_address = f"127.0.0.1:{self.bulletin.port}"
+        config = configuration(
+            f"n{self.gateways_started}", port, bulletin_address, self.bulletin.events[:1], 256
+        )
         config["settings"]["Classes"] = self._classes()
         gateway = self.make_gateway(config, folder)
         self.gateways.append(gateway)
@@ -279,11 +280,11 @@
             await asyncio.sleep(self.random.uniform(0.3, 1.2))
             gateway, port = self.gateways[-2], self.ports[0]
             await self.start_gateway()
-            how = signal.SIGKILL if self.random.random() < 0.3 else signal.SIGTERM
-            if how is signal.SIGKILL:
+            stop_signal = signal.SIGKILL if self.random.random() < 0.3 else signal.SIGTERM
+            if stop_signal is signal.SIGKILL:
                 self.killed.add(port)
-            gateway.signal(how)
-            await asyncio.sleep(0.3 if how is signal.SIGTERM else 0.0)
+            gateway.signal(stop_signal)
+            await asyncio.sleep(0.3 if stop_signal is signal.SIGTERM else 0.0)
             self.ports.remove(port)
 
     async def _drain_engines(self) -> None:
@@ -299,14 +300,17 @@
         self.bulletin.publish(*(engine.entry() for engine in self.engines), reset=True)
         await self.start_gateway()
         await self.start_gateway()
-        troubles = [asyncio.create_task(self._restart_gateways()), asyncio.create_task(self._drain_engines())]
+        fault_tasks = [
+            asyncio.create_task(self._restart_gateways()),
+            asyncio.create_task(self._drain_engines()),
+        ]
         until = monotonic() + seconds
         try:
             await asyncio.gather(*(AuditedClient(self, number).run(until) for number in range(clients)))
         finally:
-            for task in troubles:
+            for task in fault_tasks:
                 task.cancel()
-            await asyncio.gather(*troubles, return_exceptions=True)
+            await asyncio.gather(*fault_tasks, return_exceptions=True)
             for gateway in self.gateways:
                 gateway.kill()
             await self.bulletin.close()
@@ -317,26 +321,26 @@
 
 FAULTY_GATEWAY_CODE = """
 import sys
-from whintrail import brain, interface
-brain.NEVER_RAN += (interface.Outcome.RESET,)
+from whintrail import interface, routing
+routing.NEVER_RAN_OUTCOMES += (interface.Outcome.RESET,)
 from whintrail.gateway import service
 sys.exit(service.main())
 """
 
 
 class FaultyGateway(Gateway):
-    """A variant that takes a reset for proof that nothing ran: the audit has to find it."""
+    """A gateway that treats a reset as proof that nothing ran; the audit has to detect it."""
 
-    command = f'exec "{sys.executable}" -c "$WHINTRAIL_BREAKS"'
+    command = f'exec "{sys.executable}" -c "$WHINTRAIL_FAULTY_CODE"'
 
     def __init__(self, config: dict[str, Any], folder: Path) -> None:
-        super().__init__(config, folder, WHINTRAIL_BREAKS=FAULTY_GATEWAY_CODE, PYTHONPATH=os.getcwd())
+        super().__init__(config, folder, WHINTRAIL_FAULTY_CODE=FAULTY_GATEWAY_CODE, PYTHONPATH=os.getcwd())
 
 
 def run_scenario(seed: int, seconds: float, faulty: bool = False) -> OnceAudit:
     with tempfile.TemporaryDirectory() as folder:
 
-        async def story() -> OnceAudit:
+        async def scenario() -> OnceAudit:
             return await Scenario(seed, Path(folder), FaultyGateway if faulty else Gateway).run(seconds)
 
-        return asyncio.run(story())
+        return asyncio.run(scenario())
--- a/whintrail/standins/rule_audit.py
+++ b/whintrail/standins/rule_audit.py
@@ -1,7 +1,7 @@
-"""Watches by which rules the gateways of a simulated fleet act, from outside their agreement.
+"""Observes, from outside, by which rules the gateways of a simulated fleet act.
 
-Every few milliseconds it asks each process that runs what it would let pass, and keeps for how long two that
-hold leases differ without a pause. One without a lease says so, and is counted apart.
+At every poll the auditor reads the active version of each running process, and keeps for how long two
+gateways with leases differ without interruption. Gateways without a lease are counted apart.
 """
 
 from collections.abc import Callable
@@ -18,10 +18,10 @@
 @dataclass(slots=True)
 class RuleAuditor:
     world: FleetSimulation
-    diverging_since: dict[tuple[bytes, bytes], int] = field(default_factory=dict)
+    diverging_since: dict[tuple[bytes, bytes], int] = field(default_factory=dict)  # by pair of encoded rules
     longest_divergence_us: int = 0
     unleased_us: int = 0  # summed over gateways
-    max_distinct_rules: int = 0  # most different rules at a time
+    max_distinct_rules: int = 0  # under lease at the same time
     loosest: Callable[[Rules], bool] | None = None
     seen: list[tuple[int, int, bytes]] = field(default_factory=list)
 
@@ -29,6 +29,7 @@
         self.world.schedule(self.world.now + POLL_INTERVAL_US, self._poll)
 
     def active_version(self, number: int) -> ActiveVersion | None:
+        """Return the version that a gateway acts by; None for a process that is down or paused."""
         process = self.world.processes[number]
         if process is None or process.node is None or self.world.now < process.paused_until:
             return None
@@ -41,9 +42,11 @@
 
     def _poll(self) -> None:
         now = self.world.now
-        rules = [self.active_version(number) for number in range(self.world.count)]
-        acted = {encode(rule.rules) for rule in rules if rule is not None and rule.leased}
-        self.unleased_us += POLL_INTERVAL_US * sum(rule is not None and not rule.leased for rule in rules)
+        versions = [self.active_version(number) for number in range(self.world.count)]
+        acted = {encode(version.rules) for version in versions if version is not None and version.leased}
+        self.unleased_us += POLL_INTERVAL_US * sum(
+            version is not None and not version.leased for version in versions
+        )
         self.max_distinct_rules = max(self.max_distinct_rules, len(acted))
         pairs = set(combinations(sorted(acted), 2))
         for pair in [pair for pair in self.diverging_since if pair not in pairs]:
--- a/whintrail/standins/subset_audit.py
+++ b/whintrail/standins/subset_audit.py
@@ -1,9 +1,12 @@
-"""Gateways that keep a part of the engines each, under faults: an audit from the engines' side.
-
-Six gateways of the program, with a relay between them, before engines that come, drain and go. From outside:
-an engine gets queries only from gateways that keep it by some list of late, by the same arithmetic; one that
-was told as leaving gets nothing new soon after; each query gets one answer while its gateway lives; and after
-the faults every engine that is ready is served by who keeps it. Loopback only; every wait bounded.
+"""Audits from the engines' side that gateways with a subset of the engines each keep to it under faults.
+
+Six gateway processes with a relay between them serve engines that join, drain and leave. The audit checks
+from outside that
+- an engine gets queries only from gateways whose subset holds it, computed from a recent engine list,
+- an engine that was listed as leaving gets no new queries soon after,
+- each query is answered while its gateway lives,
+- after the faults, every active engine gets queries again.
+Loopback only; every wait is bounded.
 """
 
 import tempfile
@@ -21,25 +24,26 @@
 from whintrail.subset.assignment import SubsetAssignment
 from whintrail.subset.plan import SubsetPlan
 
-GATEWAYS, ENGINES, SUBSET_SIZE, MIN_HOLDERS = 6, 18, 8, 2
+GATEWAYS = 6
+ENGINES = 18
+SUBSET_SIZE = 8
+MIN_HOLDERS = 2
 SUBSET_PLAN = {"size": SUBSET_SIZE, "least_holders": MIN_HOLDERS, "least_stratum": 0}
-MAX_LIST_AGE_S = 3.5  # a list may be so old: 1.5 s of silence, a watch made anew after 1.6 s, a busy machine
-RECOVERY_CHECK_S = 4.0  # without faults, for the last look
+MAX_LIST_AGE_S = 3.5  # 1.5 s of silence, 1.6 s to renew the watch, and a busy machine
+RECOVERY_CHECK_S = 4.0  # for the check after the faults
 QUERY_INTERVAL_S = 0.02
 
 
 @dataclass
 class SubsetAudit:
+    """Counts and violations of one run."""
+
     queries_sent: int = 0
-    queries_received: int = 0  # queries as engines got them
-    outside_subset: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # engine, a gateway that does not keep it
-    after_drain: list[tuple[str, float]] = field(
-        default_factory=list
-    )  # engine, so many seconds after it was told
-    unanswered: int = 0  # by a gateway that lived
-    unreached: list[str] = field(default_factory=list)  # engines that their keepers never reach any more
+    queries_received: int = 0  # by engines
+    outside_subset: list[tuple[str, int]] = field(default_factory=list)  # engine, gateway
+    after_drain: list[tuple[str, float]] = field(default_factory=list)  # engine, seconds after drain
+    unanswered: int = 0  # by a gateway that stayed up
+    unreached: list[str] = field(default_factory=list)  # engines without queries after the faults
     outcomes: Counter[str] = field(default_factory=Counter)
 
     @property
@@ -55,18 +59,18 @@
 
 
 class Scenario:
+    """The run of one seed: gateways, engines, clients and faults."""
+
     def __init__(self, folder: Path, seed: int, operator: dict[str, Any]) -> None:
         self.random, self.audit = Random(seed), SubsetAudit()
         self.assignments = [
-            SubsetAssignment(SubsetPlan(SUBSET_SIZE, MIN_HOLDERS, 0), settings_for(me))
-            for me in range(GATEWAYS)
+            SubsetAssignment(SubsetPlan(SUBSET_SIZE, MIN_HOLDERS, 0), settings_for(number))
+            for number in range(GATEWAYS)
         ]
-        self.list_versions: list[
-            tuple[float, list[frozenset[str]]]
-        ] = []  # since when, what each gateway keeps
+        self.list_versions: list[tuple[float, list[frozenset[str]]]] = []  # start, subset of each gateway
         self.drained_at: dict[str, float] = {}
-        self.gateway_by_call: dict[str, int] = {}  # of a call: whom it was asked of
-        self.process_changes = [0] * GATEWAYS
+        self.gateway_by_call: dict[str, int] = {}
+        self.process_changes = [0] * GATEWAYS  # kills and starts of each gateway
         self.stop_event, self.muted_until = threading.Event(), 0.0
         self.active_engines = [Engine(f"s-{number}") for number in range(ENGINES)]
         self.engines = list(self.active_engines)
@@ -75,40 +79,40 @@
         )
         self._record_list(api.ListKind.FULL, [e.entry() for e in self.active_engines])
 
-    # --- The list, and what follows from it.
+    # --- The engine list, and the subsets computed from it.
 
     def _record_list(self, kind: api.ListKind, entries: list[dict[str, Any]]) -> None:
         from whintrail.gateway.bulletin import read_entry
 
         event = api.EngineListReceived(kind, tuple(read_entry(entry)[0] for entry in entries))
-        for part in self.assignments:
-            part.apply_list(event)
-        self.list_versions.append((time.monotonic(), [frozenset(part.kept) for part in self.assignments]))
+        for assignment in self.assignments:
+            assignment.apply_list(event)
+        subsets = [frozenset(assignment.kept) for assignment in self.assignments]
+        self.list_versions.append((time.monotonic(), subsets))
 
     def publish(self, *entries: dict[str, Any]) -> None:
         self.fleet.bulletin.publish(*entries)
         self._record_list(api.ListKind.DELTA, list(entries))
 
-    # --- Clients: one at each gateway, one query after another.
+    # --- Clients: one for each gateway, one query after another.
 
     def run_client(self, number: int) -> None:
-        client, life = None, 0
+        client, process_change = None, 0
         while not self.stop_event.is_set():
             try:
                 if client is None:
-                    life = self.process_changes[
-                        number
-                    ]  # that of the process that it reaches, or of an earlier one
+                    # The count is of the process that the connection reaches, or of an earlier one.
+                    process_change = self.process_changes[number]
                     client = self.fleet.client(number)
                 text = query(ttl=4000)
                 self.gateway_by_call[text.split("call=")[1][:16]] = number
                 self.audit.queries_sent += 1
                 answer = client.ask(text)
-                end = answer.sqlstate or answer.transaction_status
-                if not end and life == self.process_changes[number]:
+                outcome = answer.sqlstate or answer.transaction_status
+                if not outcome and process_change == self.process_changes[number]:
                     self.audit.unanswered += 1
-                self.audit.outcomes[end or "lost"] += 1
-                if end:
+                self.audit.outcomes[outcome or "lost"] += 1
+                if outcome:
                     self.stop_event.wait(QUERY_INTERVAL_S)
                     continue
             except (OSError, ValueError, AssertionError):
@@ -134,13 +138,17 @@
                 number = self.random.randrange(GATEWAYS)
                 self.process_changes[number] += 1
                 self.fleet.gateways[number].kill()
-                self.process_changes[number] += 1  # also for who came while it ended
+                self.process_changes[number] += (
+                    1  # again, for clients that connected while it was being killed
+                )
                 self.fleet.gateways[number] = self.fleet.start(number)
             case "relay":
-                left = {n for n in range(GATEWAYS) if self.random.random() < 0.5}
-                cut = partition(left, set(range(GATEWAYS)) - left)
-                self.fleet.relay.fault = self.random.choice([deliver_once, lossy(0.3, 0.2, 0.2), cut])
-            case "mute" if not self.fleet.bulletin.muted:  # never two in a row: lists are late, not stopped
+                side = {n for n in range(GATEWAYS) if self.random.random() < 0.5}
+                split = partition(side, set(range(GATEWAYS)) - side)
+                self.fleet.relay.fault = self.random.choice([deliver_once, lossy(0.3, 0.2, 0.2), split])
+            case "mute" if (
+                not self.fleet.bulletin.muted
+            ):  # not twice in a row: lists may be late, not stopped
                 self.muted_until = time.monotonic() + 1.0
                 self.fleet.bulletin.muted = True
             case _:
@@ -167,14 +175,14 @@
         return self.audit
 
     def _ensure_serving(self, number: int) -> bool:
-        """Started anew where another process had taken its port while it was down."""
+        """Return whether the gateway serves; start it again if another process had taken its port."""
         gateway = self.fleet.gateways[number]
         if gateway.process.poll() is not None and "already in use" in gateway.log_text():
             self.fleet.gateways[number] = self.fleet.start(number)
         return self.fleet.is_ready(number)
 
     def _check_recovery(self) -> None:
-        """Without faults: all that are ready get queries again."""
+        """Check that all active engines get queries again once the faults have ended."""
         time.sleep(max(0.0, self.muted_until - time.monotonic()))
         self.fleet.bulletin.muted, self.fleet.relay.fault = False, deliver_once
         for number in range(GATEWAYS):
@@ -182,7 +190,7 @@
         since, end = time.monotonic(), time.monotonic() + 4 * RECOVERY_CHECK_S
         while time.monotonic() < end:
             self.audit.unreached = [
-                e.name for e in self.active_engines if not any(did.received_at > since for did in e.queries)
+                e.name for e in self.active_engines if not any(q.received_at > since for q in e.queries)
             ]
             if not self.audit.unreached:
                 return
@@ -190,24 +198,24 @@
 
     def _check_received_queries(self) -> None:
         for engine in self.engines:
-            for did in engine.queries:
+            for received in engine.queries:
                 self.audit.queries_received += 1
-                number, at = self.gateway_by_call.get(did.id, -1), did.received_at
-                after = [since for since, _ in self.list_versions[1:]] + [float("inf")]
-                near = [
-                    kept
-                    for (since, kept), until in zip(self.list_versions, after, strict=True)
+                number, at = self.gateway_by_call.get(received.id, -1), received.received_at
+                version_ends = [since for since, _ in self.list_versions[1:]] + [float("inf")]
+                recent_subsets = [
+                    subsets
+                    for (since, subsets), until in zip(self.list_versions, version_ends, strict=True)
                     if since <= at and until > at - MAX_LIST_AGE_S
                 ]
-                if number < 0 or not any(engine.name in kept[number] for kept in near):
+                if number < 0 or not any(engine.name in subsets[number] for subsets in recent_subsets):
                     self.audit.outside_subset.append((engine.name, number))
-                told = self.drained_at.get(engine.name)
-                if told is not None and at - told > MAX_LIST_AGE_S:
-                    self.audit.after_drain.append((engine.name, round(at - told, 2)))
+                drained_at = self.drained_at.get(engine.name)
+                if drained_at is not None and at - drained_at > MAX_LIST_AGE_S:
+                    self.audit.after_drain.append((engine.name, round(at - drained_at, 2)))
 
 
 def run_scenario(seed: int, seconds: float, operator: dict[str, Any] | None = None) -> SubsetAudit:
-    """One story; `operator`: the gateways' file, where it is to be another than what is audited."""
+    """Run one seed; `operator` replaces the gateways' operator file, to differ from the audited subset."""
     with tempfile.TemporaryDirectory() as folder:
         return Scenario(Path(folder), seed, {"subset": SUBSET_PLAN} if operator is None else operator).run(
             seconds
