--- a/whintrail/standins/refusals.py
+++ b/whintrail/standins/refusals.py
@@ -1,9 +1,9 @@
-"""Starts a command that the kernel refuses what a deployment does: new processes, io_uring, splice and more.
+"""Starts a command under a filter of the system calls that a deployment refuses: fork, io_uring, splice etc.
 
     python -m whintrail.standins.refusals COMMAND ARG ...
 
-A system-call filter in classic BPF (seccomp(2) of the Linux manual), which needs no special rights and stays
-in force across exec. x86-64 only; elsewhere it says so and ends with status 2.
+Installs a system-call filter in classic BPF (seccomp(2) of the Linux manual), which needs no privileges and
+stays in force across exec. x86-64 only; on other machines it prints an error and exits with status 2.
 """
 
 import ctypes
@@ -14,65 +14,78 @@
 import struct
 import sys
 
-PR_SET_NO_NEW_PRIVS, PR_SET_SECCOMP, SECCOMP_MODE_FILTER = 38, 22, 2
-BPF_LOAD_WORD, BPF_JUMP_IF_EQUAL, BPF_JUMP_IF_BITS_SET, BPF_RETURN = (
-    0x20,
-    0x15,
-    0x45,
-    0x06,
-)  # BPF: load a word, jump if equal, jump if bits are set, return
-SECCOMP_RET_ALLOW, SECCOMP_RET_ERRNO = (
-    0x7FFF0000,
-    0x00050000,
-)  # SECCOMP_RET_ALLOW; SECCOMP_RET_ERRNO, with the error in the low bits
-SYSCALL_NUMBER_OFFSET, FIRST_ARGUMENT_OFFSET = (
-    0,
-    16,
-)  # offsets in seccomp_data: the call, the low half of its first argument
+# prctl(2)
+PR_SET_NO_NEW_PRIVS = 38
+PR_SET_SECCOMP = 22
+SECCOMP_MODE_FILTER = 2
+
+# Operation codes of classic BPF
+BPF_LOAD_WORD = 0x20
+BPF_JUMP_IF_EQUAL = 0x15
+BPF_JUMP_IF_BITS_SET = 0x45
+BPF_RETURN = 0x06
+
+SECCOMP_RET_ALLOW = 0x7FFF0000
+SECCOMP_RET_ERRNO = 0x00050000  # with the error in the low bits
+
+# Offsets in struct seccomp_data
+SYSCALL_NUMBER_OFFSET = 0
+FIRST_ARGUMENT_OFFSET = 16  # the low half
+
 CLONE_THREAD = 0x10000
-SYS_SOCKET, SYS_CLONE = 41, 56
+SYS_SOCKET = 41
+SYS_CLONE = 56
 REFUSED_SYSCALLS = {
-    57: errno.ENOSYS,
-    58: errno.ENOSYS,
-    435: errno.ENOSYS,
-    425: errno.ENOSYS,
-    40: errno.ENOSYS,
-    275: errno.EINVAL,
+    57: errno.ENOSYS,  # fork
+    58: errno.ENOSYS,  # vfork
+    435: errno.ENOSYS,  # clone3
+    425: errno.ENOSYS,  # io_uring_setup
+    40: errno.ENOSYS,  # sendfile
+    275: errno.EINVAL,  # splice
 }
 
 
 def build_filter() -> bytes:
-    """fork, vfork, clone3, io_uring_setup, sendfile, splice; clone unless of a thread; socket of IPv6."""
+    """Return a BPF program that refuses `REFUSED_SYSCALLS`, clone except for threads, and IPv6 sockets."""
 
-    def step(code: int, value: int, then: int = 0, other: int = 0) -> bytes:
-        return struct.pack("HBBI", code, then, other, value)
+    def instruction(code: int, value: int, jump_true: int = 0, jump_false: int = 0) -> bytes:
+        return struct.pack("HBBI", code, jump_true, jump_false, value)
 
-    steps = [step(BPF_LOAD_WORD, SYSCALL_NUMBER_OFFSET)]
+    program = [instruction(BPF_LOAD_WORD, SYSCALL_NUMBER_OFFSET)]
     for number, error in REFUSED_SYSCALLS.items():
-        steps += [step(BPF_JUMP_IF_EQUAL, number, 0, 1), step(BPF_RETURN, SECCOMP_RET_ERRNO | error)]
-    steps += [
-        step(BPF_JUMP_IF_EQUAL, SYS_CLONE, 0, 4),
-        step(BPF_LOAD_WORD, FIRST_ARGUMENT_OFFSET),
-        step(BPF_JUMP_IF_BITS_SET, CLONE_THREAD, 1, 0),
+        program += [
+            instruction(BPF_JUMP_IF_EQUAL, number, 0, 1),
+            instruction(BPF_RETURN, SECCOMP_RET_ERRNO | error),
+        ]
+    program += [
+        instruction(BPF_JUMP_IF_EQUAL, SYS_CLONE, 0, 4),
+        instruction(BPF_LOAD_WORD, FIRST_ARGUMENT_OFFSET),
+        instruction(BPF_JUMP_IF_BITS_SET, CLONE_THREAD, 1, 0),
+    ]
+    program += [
+        instruction(BPF_RETURN, SECCOMP_RET_ERRNO | errno.ENOSYS),
+        instruction(BPF_RETURN, SECCOMP_RET_ALLOW),
+    ]
+    program += [
+        instruction(BPF_JUMP_IF_EQUAL, SYS_SOCKET, 0, 3),
+        instruction(BPF_LOAD_WORD, FIRST_ARGUMENT_OFFSET),
+        instruction(BPF_JUMP_IF_EQUAL, int(socket.AF_INET6), 0, 1),
     ]
-    steps += [step(BPF_RETURN, SECCOMP_RET_ERRNO | errno.ENOSYS), step(BPF_RETURN, SECCOMP_RET_ALLOW)]
-    steps += [
-        step(BPF_JUMP_IF_EQUAL, SYS_SOCKET, 0, 3),
-        step(BPF_LOAD_WORD, FIRST_ARGUMENT_OFFSET),
-        step(BPF_JUMP_IF_EQUAL, int(socket.AF_INET6), 0, 1),
+    program += [
+        instruction(BPF_RETURN, SECCOMP_RET_ERRNO | errno.EAFNOSUPPORT),
+        instruction(BPF_RETURN, SECCOMP_RET_ALLOW),
     ]
-    steps += [step(BPF_RETURN, SECCOMP_RET_ERRNO | errno.EAFNOSUPPORT), step(BPF_RETURN, SECCOMP_RET_ALLOW)]
-    return b"".join(steps)
+    return b"".join(program)
 
 
 def install_filter() -> None:
-    """From here on, for this process and what it becomes; OSError where the kernel won't."""
+    """Install the filter for this process and what it executes; OSError if the kernel refuses."""
     libc = ctypes.CDLL(None, use_errno=True)
-    steps = build_filter()
-    buffer = ctypes.create_string_buffer(steps, len(steps))
-    filter_ = struct.pack("HxxxxxxP", len(steps) // 8, ctypes.addressof(buffer))
+    program = build_filter()
+    buffer = ctypes.create_string_buffer(program, len(program))
+    filter_program = struct.pack("HxxxxxxP", len(program) // 8, ctypes.addressof(buffer))
     if libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) or libc.prctl(
-        PR_SET_SECCOMP, SECCOMP_MODE_FILTER, filter_
+        PR_SET_SECCOMP, SECCOMP_MODE_FILTER, filter_program
     ):
         raise OSError(ctypes.get_errno(), os.strerror(ctypes.get_errno()))
 
--- a/whintrail/standins/scripted.py
+++ b/whintrail/standins/scripted.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what the gateway speaks to: engines, the bulletin and clients, all on loopback.
+"""Test doubles for the peers of a gateway: engines, the bulletin and clients, all on loopback.
 
-Blocking sockets and threads, every wait bounded: a test that goes wrong ends by itself.
+They use blocking sockets and threads; every wait is bounded, so that a failing test ends by itself.
 """
 
 import json
@@ -20,7 +20,7 @@
 from typing import Any, ClassVar
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-WAIT_TIMEOUT_S = 15.0  # longer than anything here takes on a busy machine
+WAIT_TIMEOUT_S = 15.0  # longer than any step takes on a busy machine
 CLASSES: list[dict[str, Any]] = [
     {"Name": "lookup", "Effect": "repeatable", "Group": "all"},
     {"Name": "report", "Effect": "repeatable", "Group": "all"},
@@ -29,6 +29,7 @@
 
 
 def settings(**limits: Any) -> dict[str, Any]:
+    """Return the settings of a gateway, with changed limits."""
     times = {"AimUs": 1_000_000, "DeadlineUs": 8_000_000, "WindowUs": 5_000_000, "Worth": 1.0}
     return {
         "Classes": [{**item, **times} for item in CLASSES],
@@ -67,7 +68,7 @@
 def configuration(
     name: str, port: int, bulletin: str, events: list[Any], sockets: int = 1024
 ) -> dict[str, Any]:
-    """Of a gateway on loopback that knows the bulletin's events so far."""
+    """Return the configuration of a gateway on loopback that knows the bulletin's events so far."""
     return {
         "name": name,
         "listen": f"127.0.0.1:{port}",
@@ -80,13 +81,15 @@
 
 
 def wait_for(condition: Callable[[], Any], timeout_s: float = WAIT_TIMEOUT_S) -> None:
+    """Poll until the condition holds; fail after the timeout."""
     end = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.01)
 
 
 def listener(port: int = 0) -> socket.socket:
+    """Return a listening socket on loopback."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", port))
@@ -95,14 +98,14 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Close so that the other side sees a reset."""
+    """Close the socket with a TCP reset."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class Server:
-    """Accepts on loopback, a thread for each connection."""
+    """Accepts connections on loopback and serves each on its own thread."""
 
     def __init__(self, port: int = 0) -> None:
         self.sock = listener(port)
@@ -130,7 +133,7 @@
         raise NotImplementedError
 
     def reset_connections(self) -> None:
-        """Break every open connection."""
+        """Reset every open connection."""
         for sock in self.connections:
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -146,7 +149,7 @@
 
 @dataclass
 class ReceivedQuery:
-    """A `do` as an engine got it."""
+    """A `do` request as an engine received it."""
 
     id: str
     fields: dict[str, str]
@@ -155,7 +158,7 @@
 
 
 class Engine(Server):
-    """Answers as told by `mode`; keeps what it was asked."""
+    """A fake engine that answers as `mode` says, and keeps all requests."""
 
     def __init__(self, name: str = "s-1", port: int = 0, mode: str = "serve") -> None:
         self.name, self.mode = name, mode
@@ -260,10 +263,12 @@
 
 
 class Bulletin(Server):
+    """A fake bulletin that publishes the list of engines to every watch."""
+
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
         self.requested_events: list[int] = []
-        self.muted = False  # says nothing more, and keeps connections open
+        self.muted = False  # sends nothing more, but keeps connections open
         super().__init__()
 
     def publish(self, *entries: dict[str, Any], reset: bool = False) -> None:
@@ -273,34 +278,36 @@
 
     def serve(self, sock: socket.socket) -> None:
         line = sock.makefile("rb").readline()
-        last = int(line.split()[1])
-        self.requested_events.append(last)
-        beat = 0.0
+        last_sent = int(line.split()[1])
+        self.requested_events.append(last_sent)
+        next_heartbeat = 0.0
         while True:
             if self.muted:
                 time.sleep(0.02)
                 continue
-            for event in self.events[last:]:
+            for event in self.events[last_sent:]:
                 sock.sendall(json.dumps(event).encode() + b"\n")
-                last = event["no"]
-            if time.monotonic() > beat:
-                sock.sendall(b"%d\n" % last)
-                beat = time.monotonic() + 0.3
+                last_sent = event["no"]
+            if time.monotonic() > next_heartbeat:
+                sock.sendall(b"%d\n" % last_sent)
+                next_heartbeat = time.monotonic() + 0.3
             time.sleep(0.02)
 
 
 @dataclass
 class Answer:
+    """The answer to one query, up to ReadyForQuery."""
+
     rows: list[tuple[str, ...]] = field(default_factory=list)
     sqlstate: str | None = None
     error_text: str = ""
     command_tag: str = ""
     empty: bool = False
-    transaction_status: str = ""  # of the transaction; empty: the connection ended first
+    transaction_status: str = ""  # empty: the connection ended first
 
 
 class Client:
-    """A client in the PostgreSQL protocol, byte by byte if asked."""
+    """A PostgreSQL client that can also send single bytes and messages."""
 
     def __init__(self, port: int, start: bool = True) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S)
@@ -392,28 +399,29 @@
 def query(
     op: str = "lookup", ttl: int | None = 6000, sql: str = "SELECT 1 FROM sales_3.t", **more: Any
 ) -> str:
+    """Return a query with the leading comment that carries its class, call id and deadline."""
     fields = {"op": op, "call": f"{next(_calls):016x}", "ttl": ttl, **more}
     return "/* " + ",".join(f"{k}={v}" for k, v in fields.items() if v is not None) + " */ " + sql
 
 
 class Gateway:
-    """The program, started as deploy/balancer.toml says."""
+    """A gateway process, started by the command of deploy/balancer.toml."""
 
-    command_prefix: ClassVar[tuple[str, ...]] = ()  # a command that starts it in its turn
-    command: ClassVar[str] = ""  # another command than the deployed one
+    command_prefix: ClassVar[tuple[str, ...]] = ()  # a command that executes the gateway's command
+    command: ClassVar[str] = ""  # replaces the deployed command
 
     def __init__(self, config: dict[str, Any] | None, folder: Path, **environment: str) -> None:
         with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
-            run = self.command or tomllib.load(file)["run"]
+            command = self.command or tomllib.load(file)["run"]
         self.log_path = folder / "log"
-        self.config_path = path = folder / "config.json"
+        self.config_path = config_path = folder / "config.json"
         if config is not None:
-            path.write_text(json.dumps(config))
+            config_path.write_text(json.dumps(config))
         with open(self.log_path, "wb") as log:
             self.process = subprocess.Popen(
-                [*self.command_prefix, "/bin/sh", "-c", run],
+                [*self.command_prefix, "/bin/sh", "-c", command],
                 cwd=ROOT,
-                env={**os.environ, "RELAY_CONFIG": str(path), **environment},
+                env={**os.environ, "RELAY_CONFIG": str(config_path), **environment},
                 stdout=log,
                 stderr=log,
             )
@@ -431,7 +439,7 @@
 
 
 class Deployment:
-    """A gateway with its engines and its bulletin."""
+    """A gateway process with its engines and its bulletin."""
 
     def __init__(
         self,
@@ -473,9 +481,10 @@
 
 @contextmanager
 def deployment(*engines: Engine, sockets: int = 1024, **limits: Any) -> Iterator[Deployment]:
+    """Run a deployment for the length of a `with` block."""
     with tempfile.TemporaryDirectory() as folder:
-        given = Deployment(Path(folder), list(engines) or [Engine()], sockets, **limits)
+        deployed = Deployment(Path(folder), list(engines) or [Engine()], sockets, **limits)
         try:
-            yield given
+            yield deployed
         finally:
-            given.close()
+            deployed.close()
