--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,6 +1,8 @@
-"""Gateways that keep a part of the engines each, over many seeds of faults: python -m benchmarks.parts
+"""Audits gateways with a subset of the engines each over many seeds of faults (standins/subset_audit.py).
 
-Prints one line a seed and the sum; status 1 where a promise was broken.
+    python -m benchmarks.parts
+
+Prints one line a seed and the sum; exits with status 1 if a check failed.
 """
 
 import sys
@@ -18,19 +20,20 @@
 @click.option("--seconds", default=6.0, show_default=True)
 @click.option("--jobs", default=2, show_default=True)
 def main(seeds: int, first: int, seconds: float, jobs: int) -> None:
-    numbers, bad, got = range(first, first + seeds), 0, 0
+    numbers, failed, received = range(first, first + seeds), 0, 0
     with ProcessPoolExecutor(jobs) as pool:
         for seed, audit in zip(
             numbers, pool.map(partial(run_scenario, seconds=seconds), numbers), strict=True
         ):
-            bad, got = bad + (not audit.passed), got + audit.queries_received
+            failed, received = failed + (not audit.passed), received + audit.queries_received
             click.echo(
-                f"seed {seed}: asked {audit.queries_sent}, got {audit.queries_received}, from others {audit.outside_subset[:5]}, "
-                f"after the drain {audit.after_drain[:5]}, unanswered {audit.unanswered}, idle {audit.unreached}, "
-                f"{dict(audit.outcomes)}"
+                f"seed {seed}: asked {audit.queries_sent}, got {audit.queries_received}, "
+                f"from others {audit.outside_subset[:5]}, "
+                f"after the drain {audit.after_drain[:5]}, unanswered {audit.unanswered}, "
+                f"idle {audit.unreached}, {dict(audit.outcomes)}"
             )
-    click.echo(f"{seeds} seeds, {got} queries at the engines, {bad} with a broken promise")
-    sys.exit(1 if bad else 0)
+    click.echo(f"{seeds} seeds, {received} queries at the engines, {failed} seeds with a failed check")
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -1,9 +1,10 @@
-"""Changes of settings while regions are apart, simulated: python -m benchmarks.regions
+"""Simulates changes of settings during a partition between regions: python -m benchmarks.regions
 
-Nine regions. `two apart`: the leader's region and another lose each other, and both still reach all the rest.
-`one alone`: that other region reaches nobody. Once the cut is old, changes are asked for from a third region,
-one after another; then the cut ends. From outside: how many came into force, how many of the cut region's
-gateways held a lease, and how long until all held one again and knew the newest version.
+There are nine regions. `two apart`: the leader's region and another can't reach each other, but both reach
+the others. `one alone`: that other region reaches nobody. After 30 s of partition, changes are requested from
+a third region one after another, and then the partition heals. Measured from outside: the changes that came
+into force, the gateways of the partitioned region that held a lease, and the time until all gateways held a
+lease and the newest version again.
 """
 
 import time
@@ -20,7 +21,9 @@
 from whintrail.versions.member import VersionTiming
 from whintrail.versions.rules import Rules
 
-REGIONS, COUNCIL, VERSION_CHANGES = 9, (0, 1, 2, 3, 4), 2
+REGIONS = 9
+COUNCIL = (0, 1, 2, 3, 4)
+VERSION_CHANGES = 2
 SCENARIOS = ("two apart", "one alone")
 
 
@@ -28,12 +31,12 @@
     scenario: str, leader_region: int, other_region: int, origin: int, target: int, random: Random
 ) -> list[float]:
     a, b = origin % REGIONS, target % REGIONS
-    parted = (
+    is_cut = (
         {a, b} == {leader_region, other_region}
         if scenario == "two apart"
         else (a == other_region) != (b == other_region)
     )
-    return [] if parted else [0.0]
+    return [] if is_cut else [0.0]
 
 
 def config_for(count: int, number: int, build: str) -> FleetConfig:
@@ -60,28 +63,34 @@
     world.run(4)
     leader = world.leader()
     assert leader is not None
-    other = REGIONS - 1  # of no council member
+    other = REGIONS - 1  # holds no council member
     world.fault = partial(cut_link, scenario, leader % REGIONS, other)
     world.run(30)
-    asker = next(n for n in range(count) if n % REGIONS not in (leader % REGIONS, other))
-    before, node = world.state().versions.number, world.node(asker)
+    requester = next(n for n in range(count) if n % REGIONS not in (leader % REGIONS, other))
+    first_version, node = world.state().versions.number, world.node(requester)
     for turn in range(VERSION_CHANGES):
         assert node.settings is not None
         digest = node.settings.member.store_rules(Rules(caps={"report": turn + 5}))
         node.submit(
-            world.clock(asker), VersionRequest(node.state.versions.number + 1, digest, ""), 20, retries=False
+            world.clock(requester),
+            VersionRequest(node.state.versions.number + 1, digest, ""),
+            20,
+            retries=False,
         )
         world.run(15)
-    there = [n for n in range(count) if n % REGIONS == other]
-    settled, held = world.state().versions.number - before, sum(has_lease(world, n) for n in there)
-    world.fault, at = deliver_once, world.now
-    back = world.run(30, lambda: has_converged(world))
+    partitioned = [n for n in range(count) if n % REGIONS == other]
+    settled, leased = (
+        world.state().versions.number - first_version,
+        sum(has_lease(world, n) for n in partitioned),
+    )
+    world.fault, healed_at = deliver_once, world.now
+    converged = world.run(30, lambda: has_converged(world))
     return {
         "apart_asked": VERSION_CHANGES,
         "apart_settled": settled,
-        "apart_gateways": len(there),
-        "apart_leased": held,
-        "apart_back_s": (world.now - at) / 1e6 if back else 30.0,
+        "apart_gateways": len(partitioned),
+        "apart_leased": leased,
+        "apart_back_s": (world.now - healed_at) / 1e6 if converged else 30.0,
     }
 
 
@@ -91,13 +100,13 @@
 @click.option("--to", type=click.Path(path_type=Path), help="Write a file of results.")
 def main(gateways: int, seeds: int, to: Path | None) -> None:
     began, machine, found = time.time(), current_machine(), list[Sample]()
-    for day in SCENARIOS:
-        rows = [run_scenario(gateways, day, seed) for seed in range(1, seeds + 1)]
+    for scenario in SCENARIOS:
+        rows = [run_scenario(gateways, scenario, seed) for seed in range(1, seeds + 1)]
         for name in rows[0]:
             unit = "s" if name.endswith("_s") else "count"
             made = sample(name, unit, (gateways, 0), [row[name] for row in rows], "simulated")
-            click.echo(f"{day}: {name} {made.value:g} ({made.low:g} to {made.high:g})")
-            found.append(Sample(**{f: getattr(made, f) for f in made.__struct_fields__} | {"day": day}))
+            click.echo(f"{scenario}: {name} {made.value:g} ({made.low:g} to {made.high:g})")
+            found.append(Sample(**{f: getattr(made, f) for f in made.__struct_fields__} | {"day": scenario}))
     if to is not None:
         command = f"python -m benchmarks.regions --gateways {gateways} --seeds {seeds} --to {to}"
         save_results(to, command, began, machine, found, "nine regions; the council in five of them")
