--- a/whintrail/scale/hollow.py
+++ b/whintrail/scale/hollow.py
@@ -1,9 +1,10 @@
-"""A hollow gateway: the program's own owner, module, peers, bulletin reader and fleet part, with real
-datagrams on an address of its own, many to a process, without sessions and without links to engines.
+"""A hollow gateway: the program's dispatcher, routing policy, peer transport, bulletin reader and fleet
+service.
 
-What is not the program's own: engines are a model in the process (`ModelEngines`), the list is read once for
-all gateways of a process (`Reading`), and queries come from a timer. Each gateway counts what it spends.
-"""
+It sends real datagrams from an address of its own. Many hollow gateways share one process; they have no
+client sessions and no links to engines. Three things are simulated: engines are a model in the process
+(`ModelEngines`), the engine list is read once for all gateways of a process (`EngineListFanout`), and
+queries come from a timer. Each gateway counts the CPU time, datagrams and bytes that it uses."""
 
 import asyncio
 import time
@@ -44,39 +45,45 @@
 from whintrail.settings import read_settings
 from whintrail.subset.plan import SubsetPlan
 
-DATAGRAM_HEADER_BYTES = 28  # bytes of IPv4 and UDP ahead of each datagram
-MEAN_ANSWER_S, PROBE_DELAY_S = 0.02, 0.001  # the model of an engine: means of an answer and a probe
-EVENT_KINDS: dict[type, str] = {
+DATAGRAM_HEADER_BYTES = 28  # IPv4 and UDP headers
+MEAN_ANSWER_S = 0.02  # of a query at a model engine
+PROBE_DELAY_S = 0.001  # until a model engine answers a probe
+EVENT_KINDS: dict[type, str] = {  # the middle part of a stored quantity name: module_KIND
     api.PeerMessageReceived: "memo",
     api.EngineListReceived: "list",
     api.TimerFired: "sweep",
 }
-GatewayEvent = tuple[Any, ...]  # kind, gateway, microseconds of the machine's monotonic clock, more
+NODE_TIMERS = {"tick": "node_tick", "receive": "node_take", "flush": "node_flush"}  # method: stored quantity
+GatewayEvent = tuple[Any, ...]  # kind, gateway number, microseconds of the monotonic clock, details
 
 
 @dataclass(slots=True)
 class Meter:
-    """Nanoseconds of processor time and calls by what was called; the thread's clock, so that waiting for
-    the processor does not count."""
+    """CPU nanoseconds and call counts by quantity name.
+
+    It reads the thread's CPU clock, so that time spent waiting for a CPU does not count."""
 
     spent_ns: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     calls: dict[str, int] = field(default_factory=lambda: defaultdict(int))
 
     def wrap(self, name: str, function: Callable[..., Any]) -> Callable[..., Any]:
-        spent, calls, clock = self.spent_ns, self.calls, time.thread_time_ns
+        """The function, with its calls and CPU time counted under `name`."""
+        spent_ns, calls, clock = self.spent_ns, self.calls, time.thread_time_ns
 
-        def measured(*given: Any) -> Any:
-            began = clock()
+        def measured(*arguments: Any) -> Any:
+            started = clock()
             try:
-                return function(*given)
+                return function(*arguments)
             finally:
-                spent[name] += clock() - began
+                spent_ns[name] += clock() - started
                 calls[name] += 1
 
         return measured
 
 
 class CountedInbox(Inbox):
+    """Counts the peer datagrams that the dispatcher receives, which carry probe reports."""
+
     def __init__(self, clock: Clock, meter: Meter) -> None:
         super().__init__(clock)
         self.meter = meter
@@ -89,7 +96,7 @@
 
 
 class CountedPeerTransport(PeerTransport):
-    """The program's datagrams, counted; `cut` names those to and from whom nothing passes."""
+    """The program's peer transport with counters. Nothing is sent to or accepted from `blocked_peers`."""
 
     def __init__(
         self,
@@ -106,56 +113,59 @@
 
     def send(self, target: int | None, payload: bytes) -> None:
         if target is None:
-            if payload[:1] != b"\xf5":  # a memo
+            if payload[:1] != b"\xf5":  # a probe report
                 if not self.sends_probe_reports:
                     return
             super().send(None, payload)
             return
         if target in self.blocked_peers:
             return
-        before = self.counters["peers", "sent"]
+        sent_before = self.counters["peers", "sent"]
         super().send(target, payload)
-        if self.counters["peers", "sent"] > before:
+        if self.counters["peers", "sent"] > sent_before:
             self.meter.calls["datagrams_out"] += 1
             self.meter.calls["bytes_out"] += len(payload) + DATAGRAM_HEADER_BYTES
 
 
 class ModelEngines:
-    """Every engine answers every query, after a time drawn from an exponential distribution of 20 ms, and
-    every probe after 1 ms with a load that is drawn anew: what an idle, healthy engine might say."""
+    """Simulates idle, healthy engines in the process.
+
+    Every query is answered after an exponentially distributed time with a mean of 20 ms, every probe after 1
+    ms with a random load."""
 
     def __init__(self, inbox: Inbox, random: Random, meter: Meter) -> None:
         self.inbox, self.random, self.meter = inbox, random, meter
         self.unreachable: frozenset[str] = frozenset()
 
     def apply_engine_list(self, update: EngineListUpdate) -> None:
-        """A real gateway's links take the addresses here."""
+        """Does nothing; a real gateway's links get their addresses here."""
 
     def draw_load_report(self) -> api.LoadReport:
         return api.LoadReport(None, float(self.random.randrange(8)), 0.0, 0.1)
 
     def send(self, attempt: Attempt) -> None:
-        dead = attempt.engine in self.unreachable
-        ended = AttemptResult(
-            attempt, api.Outcome.CONNECT_FAILED if dead else api.Outcome.OK, 5.0, 8.0, self.draw_load_report()
-        )
-        later = asyncio.get_running_loop().call_later
-        later(PROBE_DELAY_S if dead else self.random.expovariate(1 / MEAN_ANSWER_S), self.inbox.put, ended)
+        is_unreachable = attempt.engine in self.unreachable
+        outcome = api.Outcome.CONNECT_FAILED if is_unreachable else api.Outcome.OK
+        result = AttemptResult(attempt, outcome, 5.0, 8.0, self.draw_load_report())
+        delay_s = PROBE_DELAY_S if is_unreachable else self.random.expovariate(1 / MEAN_ANSWER_S)
+        asyncio.get_running_loop().call_later(delay_s, self.inbox.put, result)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Its outcome, when it comes, is that of an attempt that is over."""
+        """Does nothing: the result still comes, and the dispatcher drops it as late."""
 
     def update_priority(self, attempt: Attempt) -> None:
-        """Priorities mean nothing here."""
+        """Does nothing: the model has no priorities."""
 
     def probe(self, engine: str) -> None:
         self.meter.calls["probes"] += 1
         outcome = api.Outcome.CONNECT_FAILED if engine in self.unreachable else api.Outcome.OK
-        probed = ProbeResult(engine, outcome, self.inbox.clock.now_us(), self.draw_load_report())
-        asyncio.get_running_loop().call_later(PROBE_DELAY_S, self.inbox.put, probed)
+        result = ProbeResult(engine, outcome, self.inbox.clock.now_us(), self.draw_load_report())
+        asyncio.get_running_loop().call_later(PROBE_DELAY_S, self.inbox.put, result)
 
 
 class HollowClient:
+    """A client session that discards its answers."""
+
     def send_result(self, query: Query, pages: list[Rows]) -> None: ...
     def refuse(self, query: Query, retry_after_us: int | None) -> None: ...
     def fail(self, query: Query, reason: str) -> None: ...
@@ -165,39 +175,42 @@
 
 
 class HollowFleetService(FleetService):
-    """The program's fleet part; it also tells when the rule by which it acts, or its role, changes."""
+    """The program's fleet service. It also emits an event when the active rules, the lease or the leadership
+    of its gateway change."""
 
-    reported_rules: tuple[str, bool] = ("0", False)
+    reported_rules: tuple[str, bool] = ("0", False)  # label of the active rules, whether leased
     reported_leading = False
-    watched_members: frozenset[int] = frozenset()
+    watched_members: frozenset[int] = frozenset()  # an event is due once all of them are considered gone
     emit_event: Callable[..., None]
 
     def _process_node_output(self) -> None:
         super()._process_node_output()
-        node, me = self.node, self.node_config.local_number
+        node, local_number = self.node, self.node_config.local_number
         if node.settings is not None:
             rule = node.settings.member.lease.active_version(monotonic_us())
             if (rule.label, rule.leased) != self.reported_rules:
-                # The owner looks at the lease before each decision: it ended when it ran out, though this
-                # turn, by which it is told, comes later where the process waited for a processor.
-                over = self.reported_rules[1] and not rule.leased
-                at = min(monotonic_us(), node.settings.member.lease.expires_at) if over else None
+                # The dispatcher checks the lease before each decision, so the lease ended at its expiry even
+                # if this turn comes later because the process waited for a CPU.
+                has_expired = self.reported_rules[1] and not rule.leased
+                at_us = min(monotonic_us(), node.settings.member.lease.expires_at) if has_expired else None
                 self.reported_rules = rule.label, rule.leased
-                self.emit_event("rule", me, *self.reported_rules, at=at)
+                self.emit_event("rule", local_number, *self.reported_rules, at_us=at_us)
         if node.is_leader is not self.reported_leading:
             self.reported_leading = node.is_leader
-            self.emit_event("leads", me, self.reported_leading)
+            self.emit_event("leads", local_number, self.reported_leading)
         if self.watched_members and all(
-            node.membership.members[n].state is MemberState.GONE for n in self.watched_members
+            node.membership.members[number].state is MemberState.GONE for number in self.watched_members
         ):
-            self.emit_event("gone", me, sorted(self.watched_members))
+            self.emit_event("gone", local_number, sorted(self.watched_members))
             self.watched_members = frozenset()
 
 
 @dataclass(slots=True)
 class EngineListFanout:
-    """What the one reader of a process puts out: handed to all its gateways, and kept for those that start
-    later, which a gateway of its own process would read for itself."""
+    """Passes each engine list event of the process's one bulletin reader to all gateways.
+
+    It keeps the current list for gateways that start later; a gateway in a process of its own would read the
+    list from the bulletin."""
 
     clock: Clock
     gateways: dict[int, "HollowGateway"]
@@ -222,7 +235,7 @@
             api.ListKind.CACHED, tuple(entry for entry, _ in self.entries.values())
         )
         return EngineListUpdate(
-            event, {name: where for name, (_, where) in self.entries.items()}, self.generation
+            event, {name: address for name, (_, address) in self.entries.items()}, self.generation
         )
 
 
@@ -230,7 +243,7 @@
 class SharedContext:
     """What all hollow gateways of a process share."""
 
-    config: Mapping[str, Any]  # of a gateway, but for its number, zone and address
+    config: Mapping[str, Any]  # of a gateway, without its number, zone and address
     fleet: FleetSettings
     addresses: list[tuple[str, int]]
     gateway_numbers: dict[tuple[str, int], int]
@@ -240,14 +253,14 @@
     sends_probe_reports: bool
     log: Log
     engine_list: EngineListFanout
-    bulletin_last_received: Callable[[], int]  # when the bulletin last said anything
-    emit_event: Callable[..., None]  # an event for the control channel: kind, gateway, more
-    socket_folder: str = ""  # where the fleet's local sockets of control machines are; empty: none
-    subset_size: int = 0  # engines that each keeps; 0: all
+    bulletin_last_received: Callable[[], int]
+    emit_event: Callable[..., None]  # queues an event for the control channel: kind, gateway, details
+    socket_folder: str = ""  # for the local control sockets of control machines; empty: none
+    subset_size: int = 0  # engines that each gateway keeps; 0: all
 
 
 class HollowGateway:
-    """`start` and `close` it on a running loop; `kill` it as a process that is killed."""
+    """Call `start` on a running loop. `kill` ends it like a process that gets SIGKILL."""
 
     def __init__(self, shared: SharedContext, number: int) -> None:
         self.shared, self.number = shared, number
@@ -259,10 +272,9 @@
         limits, settings = Limits.read(config), read_settings(config["settings"])
         self.inbox = CountedInbox(Clock(), self.meter)
         self.peers = CountedPeerTransport(config, limits, self.inbox, self.counters, shared.log, self.meter)
-        self.peers.addresses, self.peers.gateway_numbers = (
-            shared.addresses,
-            shared.gateway_numbers,
-        )  # one copy for all
+        # One copy of the address tables for all gateways of the process.
+        self.peers.addresses = shared.addresses
+        self.peers.gateway_numbers = shared.gateway_numbers
         self.peers.sends_probe_reports = shared.sends_probe_reports
         self.engines = ModelEngines(self.inbox, Random(number), self.meter)
         self.dispatcher = Dispatcher(
@@ -293,72 +305,75 @@
         self._instrument()
 
     def _attach_subset(self, settings: api.Settings) -> None:
-        """As the program does where its operator's file has a `subset` part."""
-        plan, owner = SubsetPlan(self.shared.subset_size), self.dispatcher
+        """Keeps a subset of the engines, as the program does when the operator's file has a `subset` part."""
+        plan, dispatcher = SubsetPlan(self.shared.subset_size), self.dispatcher
         subset = SubsetService(
-            plan, settings, self.peers, lambda engine: not owner.count_open_attempts(engine)
+            plan, settings, self.peers, lambda engine: not dispatcher.count_open_attempts(engine)
         )
-        for name in ("listed", "turn", "tell"):
-            setattr(subset, name, self.meter.wrap("subset", getattr(subset, name)))
-        owner.attach_subset(subset, subset.tick_interval_us)
+        for method in ("apply_event", "tick", "broadcast_report"):
+            setattr(subset, method, self.meter.wrap("subset", getattr(subset, method)))
+        dispatcher.attach_subset(subset, subset.tick_interval_us)
 
     def _instrument(self) -> None:
-        meter, node, module = self.meter, self.fleet_service.node, self.dispatcher.policy
-        for name in ("tick", "take", "flush"):
-            setattr(node, name, meter.wrap(f"node_{name}", getattr(node, name)))
-        setattr(self.peers, "tell", self._timed_send(self.peers.send))  # noqa: B010
-        datagram = self.peers.on_fleet_datagram
-        assert datagram is not None
-
-        def heard(origin: int, data: bytes) -> None:
+        """Replaces methods of this gateway's components by measured ones."""
+        meter, node, policy = self.meter, self.fleet_service.node, self.dispatcher.policy
+        for method, quantity in NODE_TIMERS.items():
+            setattr(node, method, meter.wrap(quantity, getattr(node, method)))
+        setattr(self.peers, "send", self._timed_send(self.peers.send))  # noqa: B010
+        receive_datagram = self.peers.on_fleet_datagram
+        assert receive_datagram is not None
+
+        def count_fleet_datagram(origin: int, data: bytes) -> None:
             if origin in self.peers.blocked_peers:
                 return
             meter.calls["bytes_in"] += len(data) + DATAGRAM_HEADER_BYTES
             meter.calls["fleet_in"] += 1
-            datagram(origin, data)
+            receive_datagram(origin, data)
 
-        self.peers.on_fleet_datagram = heard
-        handle, clock = module.handle, time.thread_time_ns
+        self.peers.on_fleet_datagram = count_fleet_datagram
+        handle, clock = policy.handle, time.thread_time_ns
 
-        def handled(now: int, event: api.Event) -> list[api.Action]:
+        def measured_handle(now: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.PeerMessageReceived) and event.sender in self.peers.blocked_peers:
                 return []
-            began = clock()
+            started = clock()
             try:
                 return handle(now, event)
             finally:
-                name = "module_" + EVENT_KINDS.get(type(event), "query")
-                meter.spent_ns[name] += clock() - began
-                meter.calls[name] += 1
+                quantity = "module_" + EVENT_KINDS.get(type(event), "query")
+                meter.spent_ns[quantity] += clock() - started
+                meter.calls[quantity] += 1
 
-        setattr(module, "handle", handled)  # noqa: B010
-        take = self.dispatcher._process
+        setattr(policy, "handle", measured_handle)  # noqa: B010
+        process = self.dispatcher._process
 
-        def taken(item: Input) -> None:
-            take(item)
-            if isinstance(item, EngineListUpdate):  # the module has it, or it bears on nothing that is kept
+        def observed_process(item: Input) -> None:
+            process(item)
+            # The policy has applied the update, or it concerns no engine that this gateway keeps.
+            if isinstance(item, EngineListUpdate):
                 self.shared.emit_event("list", self.number, self.fleet_service.lists.generation)
 
-        setattr(self.dispatcher, "_take", taken)  # noqa: B010
+        setattr(self.dispatcher, "_process", observed_process)  # noqa: B010
 
     def _timed_send(self, send: Callable[..., None]) -> Callable[..., None]:
-        """To all is one call here, and the calls for each within it are not counted again."""
-        spent, clock, inside = self.meter.spent_ns, time.thread_time_ns, [False]
+        """`send` with its CPU time counted. A broadcast calls it again for each peer; the nested calls are
+        not counted twice."""
+        spent_ns, clock, is_nested = self.meter.spent_ns, time.thread_time_ns, [False]
 
-        def told(target: int | None, payload: bytes) -> None:
-            if inside[0]:
+        def measured_send(target: int | None, payload: bytes) -> None:
+            if is_nested[0]:
                 send(target, payload)
                 return
-            inside[0], began = True, clock()
+            is_nested[0], started = True, clock()
             try:
                 send(target, payload)
             finally:
-                inside[0] = False
-                spent["send"] += clock() - began
+                is_nested[0] = False
+                spent_ns["send"] += clock() - started
 
-        return told
+        return measured_send
 
-    # --- Its life.
+    # --- Start and stop.
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -370,14 +385,13 @@
         self.tasks.append(loop.create_task(self.dispatcher.run()))
         self.fleet_service.start()
         if self.shared.queries_per_s:
-            first = Random(self.number).random() / self.shared.queries_per_s
-            self.query_timer = loop.call_later(first, self._submit_query)
+            first_query_s = Random(self.number).random() / self.shared.queries_per_s
+            self.query_timer = loop.call_later(first_query_s, self._submit_query)
         self.shared.emit_event("up", self.number, self.fleet_service.node.boot_id)
 
     def _submit_query(self) -> None:
-        self.query_timer = asyncio.get_running_loop().call_later(
-            1 / self.shared.queries_per_s, self._submit_query
-        )
+        loop = asyncio.get_running_loop()
+        self.query_timer = loop.call_later(1 / self.shared.queries_per_s, self._submit_query)
         self.last_query_id += 1
         statement = Statement("lookup", b"%016x" % self.last_query_id, None, 5.0, 8.0, b"select 1", None)
         self.inbox.put(QueryReceived(Query(HollowClient(), statement, self.inbox.clock.now_us())))
@@ -386,16 +400,18 @@
         self.stop_requested.set()
 
     async def restart_by_slot(self, wait_s: float) -> bool:
-        """What `may-restart` with `stop` does on the fleet's socket; whether the slot was granted."""
-        wanted = SlotRequest(self.fleet_service.node.boot_id, self.node_config.build)
-        outcome = await self.fleet_service.request_change(wanted, wait_s, True)
+        """Requests a restart slot and leaves the fleet, like `may-restart` with `stop` on the control socket.
+
+        Returns whether the slot was granted."""
+        request = SlotRequest(self.fleet_service.node.boot_id, self.node_config.build)
+        outcome = await self.fleet_service.request_change(request, wait_s, True)
         if outcome.status != DONE or self.fleet_service.node.leader_client.held_slot is None:
             return False
         self.fleet_service.leave()
         return True
 
     async def kill(self) -> None:
-        """Its socket is closed at once, and nothing of it is kept."""
+        """Closes its socket at once and keeps no state."""
         self.shared.emit_event("down", self.number)
         self.peers.close()
         if self.query_timer is not None:
@@ -407,42 +423,43 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.fleet_service.close()
 
-    # --- What it tells over the control channel.
+    # --- State for the control channel.
 
     def status(self) -> dict[str, Any]:
-        part = self.fleet_service
+        """Counters since the start, and the gateway's view of the fleet."""
+        fleet_service, node = self.fleet_service, self.fleet_service.node
         return {
             "number": self.number,
-            "birth": part.node.boot_id,
-            "leads": part.node.is_leader,
-            "leader": part.node.current_leader(monotonic_us()),
-            "alive": part.node.membership.count_in(MemberState.ALIVE),
+            "birth": node.boot_id,
+            "leads": node.is_leader,
+            "leader": node.current_leader(monotonic_us()),
+            "alive": node.membership.count_in(MemberState.ALIVE),
             "gone": [
-                m.number
-                for m in part.node.membership.members
-                if m.state in (MemberState.LEAVING, MemberState.GONE)
+                member.number
+                for member in node.membership.members
+                if member.state in (MemberState.LEAVING, MemberState.GONE)
             ],
-            "rule": part.reported_rules[0],
-            "leased": part.reported_rules[1],
-            "generation": part.lists.generation,
+            "rule": fleet_service.reported_rules[0],
+            "leased": fleet_service.reported_rules[1],
+            "generation": fleet_service.lists.generation,
             "spent_ns": dict(self.meter.spent_ns),
             "calls": dict(self.meter.calls),
-            "counts": {**part.node.counters, "faults": self.counters["fleet", "faults"]},
+            "counts": {**node.counters, "faults": self.counters["fleet", "faults"]},
             "served": self.counters["queries", "served"],
         }
 
     def list_digest(self) -> tuple[int, int, int]:
-        """Gateway, generation and digest of the engines that it takes for ready, kept or not."""
-        owner = self.dispatcher
-        found = owner.listed_engines() if self.shared.subset_size else owner.policy.engines
-        ready = (name for name, engine in found.items() if engine.state is api.EngineState.READY)
+        """Its number, the list's generation, and the digest of all ready engines, kept or not."""
+        dispatcher = self.dispatcher
+        engines = dispatcher.listed_engines() if self.shared.subset_size else dispatcher.policy.engines
+        ready = (name for name, engine in engines.items() if engine.state is api.EngineState.READY)
         return self.number, self.fleet_service.lists.generation, digest_names(ready)
 
     def routable_engines(self) -> list[str]:
-        """Engines that its module may draw."""
+        """Engines that its routing policy may choose."""
         return [engine.address for engine in self.dispatcher.policy.ready]
 
 
 def digest_names(names: Iterable[str]) -> int:
-    """CRC-32 of the names in order."""
+    """CRC-32 of the sorted names."""
     return crc32("\n".join(sorted(names)).encode())
--- a/whintrail/scale/host.py
+++ b/whintrail/scale/host.py
@@ -1,4 +1,4 @@
-"""A process of hollow gateways, for `control.serve`: started, asked and steered over its control channel."""
+"""A process of hollow gateways, for `control.serve`: starts, measures and stops them on request."""
 
 import asyncio
 import gc
@@ -23,13 +23,16 @@
 from whintrail.scale.hollow import EngineListFanout, GatewayEvent, HollowGateway, Meter, SharedContext
 from whintrail.scale.measure import LoopStallMonitor
 
-LEAVE_DELAY_S = 0.1  # what a gateway that ends says goes out
+LEAVE_DELAY_S = 0.1  # lets the last datagrams of a leaving gateway go out
+STALL_CHECK_INTERVAL_S = 0.02  # a shorter one would itself add measurable load
 
 
 class HostConfig(Struct, frozen=True, kw_only=True):
+    """The configuration of one process of hollow gateways, as the run sends it with `start`."""
+
     numbers: list[int]  # of its gateways
-    addresses: list[str]  # of all of the fleet
-    zones: list[str]  # of each of the fleet
+    addresses: list[str]  # of all gateways of the fleet
+    zones: list[str]  # of all gateways of the fleet
     config: dict[str, Any]  # of a gateway, without its number, zone and address
     fleet: FleetSettings
     queries_per_s: float
@@ -37,7 +40,7 @@
     whole_at: int  # the generation that completes the list
     sockets: str = ""
     subset: int = 0
-    spread_s: float = 1.0  # its gateways start one after another over so long
+    spread_s: float = 1.0  # its gateways start one after another within this time
 
 
 class Host:
@@ -47,19 +50,26 @@
         self.gateways: dict[int, HollowGateway] = {}
         self.pending_events: list[GatewayEvent] = []
         self.meter = Meter()
-        self.stalls = LoopStallMonitor(interval_s=0.02)  # more often, it would itself be what is measured
+        self.stalls = LoopStallMonitor(interval_s=STALL_CHECK_INTERVAL_S)
         self.engine_list = EngineListFanout(Clock(), self.gateways)
         self.log = Log("hollow", 5.0, 1.0)
         self.limits = Limits.read(config.config)
-        # The reader puts into `Reading` as it would into an owner's inbox.
-        self.bulletin = BulletinClient(config.config, self.limits, self.engine_list, Counters(), self.log)  # type: ignore[arg-type]
-        setattr(self.bulletin, "take_line", self.meter.wrap("read", self.bulletin.process_line))  # noqa: B010
-        where = [parse_address(text) for text in config.addresses]
+        # The bulletin client puts updates into the fanout as it would into a dispatcher's inbox.
+        self.bulletin = BulletinClient(
+            config.config,
+            self.limits,
+            self.engine_list,  # type: ignore[arg-type]
+            Counters(),
+            self.log,
+        )
+        process_line = self.meter.wrap("read", self.bulletin.process_line)
+        setattr(self.bulletin, "process_line", process_line)  # noqa: B010
+        addresses = [parse_address(text) for text in config.addresses]
         self.common = SharedContext(
             config=config.config,
             fleet=config.fleet,
-            addresses=where,
-            gateway_numbers={place: number for number, place in enumerate(where)},
+            addresses=addresses,
+            gateway_numbers={address: number for number, address in enumerate(addresses)},
             zones=tuple(dict.fromkeys(config.zones)),
             zone_of=config.zones.__getitem__,
             queries_per_s=config.queries_per_s,
@@ -73,10 +83,11 @@
         )
 
     def emit_event(self, kind: str, number: int, *details: Any, at_us: int | None = None) -> None:
-        """`at`: microseconds of the monotonic clock; now, where nothing is said."""
+        """`at_us`: microseconds of the monotonic clock; None: now."""
         self.pending_events.append((kind, number, monotonic_us() if at_us is None else at_us, *details))
 
     async def start_all(self) -> None:
+        """Reads the whole engine list, then starts all gateways."""
         self.bulletin_task = self.loop.create_task(self.bulletin.run())
         while self.engine_list.generation < self.config.whole_at:
             await asyncio.sleep(0.005)
@@ -93,23 +104,23 @@
             await asyncio.sleep(spread_s / len(numbers))
 
     async def _kill_gateways(self, numbers: list[int]) -> list[int]:
-        gone = [gateway for number in numbers if (gateway := self.gateways.pop(number, None)) is not None]
-        await asyncio.gather(*(gateway.kill() for gateway in gone))
-        return [gateway.number for gateway in gone]
+        killed = [gateway for number in numbers if (gateway := self.gateways.pop(number, None)) is not None]
+        await asyncio.gather(*(gateway.kill() for gateway in killed))
+        return [gateway.number for gateway in killed]
 
-    # --- What may be asked; numbers that are not here are left out.
+    # --- Requests. Numbers of gateways in other processes are ignored.
 
     async def revive(self, fields: Mapping[str, Any]) -> list[int]:
-        """Gateways from nothing, under their old addresses."""
-        wanted = [n for n in fields["numbers"] if n in self.config.numbers and n not in self.gateways]
-        await self._start_gateways(wanted, 0.0)
-        return wanted
+        """Starts killed gateways without state, under their old addresses."""
+        numbers = [n for n in fields["numbers"] if n in self.config.numbers and n not in self.gateways]
+        await self._start_gateways(numbers, 0.0)
+        return numbers
 
     async def kill(self, fields: Mapping[str, Any]) -> list[int]:
         return await self._kill_gateways(fields["numbers"])
 
     async def restart(self, fields: Mapping[str, Any]) -> str:
-        """One by its slot, within `wait_s`: how it ended."""
+        """Restarts one gateway by a slot that it requests within `wait_s`: `done` or `no slot`."""
         number = int(fields["number"])
         if not await self.gateways[number].restart_by_slot(float(fields["wait_s"])):
             return "no slot"
@@ -119,13 +130,13 @@
         return "done"
 
     def set_blocked_peers(self, fields: Mapping[str, Any]) -> None:
-        """Between `numbers` and `others` nothing passes from now on; `others` empty: all does."""
+        """Blocks all datagrams between `numbers` and `others`; empty `others` ends the partition."""
         for number in fields["numbers"]:
             if number in self.gateways:
                 self.gateways[number].peers.blocked_peers = frozenset(fields["others"])
 
     def watch_members(self, fields: Mapping[str, Any]) -> None:
-        """Tell when a gateway takes all of `numbers` for gone."""
+        """Each gateway emits an event once it considers all of `numbers` gone."""
         for gateway in self.gateways.values():
             gateway.fleet_service.watched_members = frozenset(fields["numbers"])
 
@@ -134,9 +145,9 @@
             gateway.engines.unreachable = frozenset(fields["engines"])
 
     def take_events(self, _: Mapping[str, Any]) -> list[GatewayEvent]:
-        """What happened since the last call."""
-        happened, self.pending_events = self.pending_events, []
-        return happened
+        """Events since the last call."""
+        events, self.pending_events = self.pending_events, []
+        return events
 
     def list_digests(self, _: Mapping[str, Any]) -> list[tuple[int, int, int]]:
         return [gateway.list_digest() for gateway in self.gateways.values()]
@@ -145,7 +156,7 @@
         return {gateway.number: gateway.routable_engines() for gateway in self.gateways.values()}
 
     def status(self, _: Mapping[str, Any]) -> dict[str, Any]:
-        """Counts since the start; stalls since the last call."""
+        """Counters since the start; stalls since the last call."""
         with open("/proc/self/statm", encoding="ascii") as file:
             rss = int(file.read().split()[1]) * resource.getpagesize()
         longest_s, stalls = self.stalls.take_stalls()
@@ -161,23 +172,23 @@
         }
 
     def handlers(self) -> dict[str, Handler]:
-        names = (
-            "revive",
-            "kill",
-            "restart",
-            "cut",
-            "watch",
-            "engines_down",
-            "events",
-            "digests",
-            "kept",
-            "tell",
-        )
-        return {name: getattr(self, name) for name in names}
+        """By the words of the control channel."""
+        return {
+            "revive": self.revive,
+            "kill": self.kill,
+            "restart": self.restart,
+            "cut": self.set_blocked_peers,
+            "watch": self.watch_members,
+            "engines_down": self.set_unreachable_engines,
+            "events": self.take_events,
+            "digests": self.list_digests,
+            "kept": self.routable_engines,
+            "tell": self.status,
+        }
 
 
 async def start(config: dict[str, Any]) -> tuple[Any, Mapping[str, Handler]]:
-    """`HostGiven`; answers once all gateways of it run."""
+    """Takes the fields of `HostConfig`; answers once all gateways are running."""
     host = Host(msgspec.convert(config, HostConfig))
     await host.start_all()
     return {"gateways": len(host.gateways)}, host.handlers()
