--- a/whintrail/scale/control.py
+++ b/whintrail/scale/control.py
@@ -1,4 +1,4 @@
-"""The child's side of a scale run's control channel: a JSON object a line on stdin, its answer on stdout.
+"""The child's side of a scale run's control channel: JSON objects, one per line, on stdin and stdout.
 
     {"id": 3, "do": "mute", "on": true}     from the run
     {"id": 3, "ok": null}                   from the child; or {"id": 3, "error": "why"}
@@ -16,12 +16,18 @@
 
 import orjson
 
-Handler = Callable[[dict[str, Any]], Any]  # the request's fields -> what JSON can hold, or an awaitable of it
+Handler = Callable[
+    [dict[str, Any]], Any
+]  # takes the request's fields; returns JSON data or an awaitable of it
 StartFunction = Callable[[dict[str, Any]], Awaitable[tuple[Any, Mapping[str, Handler]]]]
 
+STDIN = 0
+STDOUT = 1
+READ_CHUNK_BYTES = 1 << 20
+
 
 class ControlChannel:
-    """Takes requests in their order; one that waits does not hold up those behind it."""
+    """Starts requests in the order of their arrival; one that waits does not hold up later ones."""
 
     def __init__(self, start: StartFunction) -> None:
         self.handlers: dict[str, Handler] = {"start": self._start}
@@ -29,21 +35,21 @@
         self.received = bytearray()
         self.closed = asyncio.get_running_loop().create_future()
         self.tasks: set[asyncio.Task[None]] = set()
-        os.set_blocking(0, False)
-        asyncio.get_running_loop().add_reader(0, self._on_readable)
+        os.set_blocking(STDIN, False)
+        asyncio.get_running_loop().add_reader(STDIN, self._on_readable)
 
     async def _start(self, fields: dict[str, Any]) -> Any:
-        ready, handlers = await self.start_child(fields)
+        answer, handlers = await self.start_child(fields)
         self.handlers.update(handlers)
-        return ready
+        return answer
 
     def _on_readable(self) -> None:
         try:
-            chunk = os.read(0, 1 << 20)
+            chunk = os.read(STDIN, READ_CHUNK_BYTES)
         except BlockingIOError:
             return
         if not chunk:
-            asyncio.get_running_loop().remove_reader(0)
+            asyncio.get_running_loop().remove_reader(STDIN)
             if not self.closed.done():
                 self.closed.set_result(None)
             return
@@ -64,19 +70,19 @@
             if inspect.isawaitable(answer):
                 answer = await answer
             reply = orjson.dumps({"id": number, "ok": answer}, option=orjson.OPT_NON_STR_KEYS)
-        except Exception as error:  # told to whoever asked
+        except Exception as error:  # reported to the run
             reply = orjson.dumps({"id": number, "error": f"{type(error).__name__}: {error}"})
         view = memoryview(reply + b"\n")
-        while view:  # the parent always reads
-            view = view[os.write(1, view) :]
+        while view:  # may block: the parent always reads
+            view = view[os.write(STDOUT, view) :]
 
 
 def serve(start: StartFunction) -> None:
-    """Run a child until its stdin ends: `start(config)` gives what to answer and the further handlers."""
+    """Runs a child until its stdin ends. `start(config)` returns its answer and the other handlers."""
     import uvloop
 
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+    max_files = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max_files, max_files))
 
     async def run() -> None:
         await ControlChannel(start).closed
@@ -86,4 +92,4 @@
             runner.run(run())
         except KeyboardInterrupt:
             sys.exit(130)
-    os._exit(0)  # thousands of sockets need no closing one by one
+    os._exit(0)  # skips closing thousands of sockets one by one
--- a/whintrail/scale/engines.py
+++ b/whintrail/scale/engines.py
@@ -1,8 +1,7 @@
-"""Hollow engines: thousands of addresses of 127.0.0.0/8 that one process answers on.
+"""Hollow engines: one process that answers on thousands of addresses of 127.0.0.0/8.
 
-They speak the engines' line protocol, take the time that the statement says (`-- cost=MS`; 5 ms if it says
-nothing) on cores that requests share, and hold no memory, pages or loads. A module for `control.serve`.
-"""
+They speak the engines' line protocol, take the time that the statement names (`-- cost=MS`; 5 ms without it)
+on cores that requests share, and have no memory, pages or loads. A module for `control.serve`."""
 
 import asyncio
 import errno
@@ -17,23 +16,27 @@
 from whintrail.scale.control import Handler, serve
 from whintrail.standins.engine_fleet import ROWS, parse_requests
 
-FIRST_ADDRESS = 64 << 16  # the first is 127.64.0.0: out of the way of what else listens on loopback
+FIRST_ADDRESS = 64 << 16  # 127.64.0.0: away from what else listens on loopback
 MAX_ACCEPTS_PER_CALLBACK = 16
-PROGRESS_INTERVAL_S = 0.2  # as the stand-ins' settings say (ProgressPaceUs)
+PROGRESS_INTERVAL_S = 0.2  # as in the stand-ins' settings (ProgressPaceUs)
+DEFAULT_COST_MS = 5.0  # of a statement that names none
+RECEIVE_CHUNK_BYTES = 65_536
+LISTEN_BACKLOG = 256
+PORT_ATTEMPTS = 20
 FAULTS = ("sound", "hang", "refuse", "crash", "cold", "slow")
 COUNTER_NAMES = ("connections", "queries", "served", "undone", "probes", "pings", "open")
 
 
 def engine_address(number: int) -> str:
     """The address of an engine by its number, from 0."""
-    place = FIRST_ADDRESS + number
-    return f"127.{place >> 16}.{place >> 8 & 255}.{place & 255}"
+    address = FIRST_ADDRESS + number
+    return f"127.{address >> 16}.{address >> 8 & 255}.{address & 255}"
 
 
 def build_entry(
     number: int, port: int, zones: int = 1, state: str = "active", **changes: Any
 ) -> dict[str, Any]:
-    """What the bulletin says of an engine."""
+    """An engine's entry in the bulletin's list."""
     return {
         "instanceId": f"s-{number:08x}",
         "hostPort": f"{engine_address(number)}:{port}",
@@ -48,7 +51,7 @@
 
 
 def build_entries(processes: Iterable[tuple[int, int, int]], zones: int = 1) -> list[dict[str, Any]]:
-    """Of all engines; a part is (first number, count, port) as a process of them answered to `start`."""
+    """The entries of all engines. Each process is (first number, count, port), its answer to `start`."""
     return [
         build_entry(n, port, zones) for first, count, port in processes for n in range(first, first + count)
     ]
@@ -65,7 +68,7 @@
 
     def on_readable(self) -> None:
         try:
-            chunk = self.sock.recv(65_536)
+            chunk = self.sock.recv(RECEIVE_CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -77,7 +80,7 @@
         try:
             for words, body in parse_requests(self.received):
                 self.engine.handle_request(self, words, body)
-        except (ValueError, IndexError):  # no request of this protocol
+        except (ValueError, IndexError):  # not a request of this protocol
             self.close()
 
     def send_reply(self, request_id: bytes, status: bytes, fields: bytes = b"-", body: bytes = b"") -> None:
@@ -88,7 +91,7 @@
             sent = 0
         except OSError:
             return
-        if sent < len(data):  # the gateway doesn't read: a stand-in needs no better than to hang up
+        if sent < len(data):  # the gateway does not read; a hollow engine just closes the connection
             with suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
 
@@ -107,7 +110,8 @@
 
 
 class Engine:
-    """One address. It hangs as a stopped process does: the kernel still takes connections and bytes."""
+    """One address. A hung engine behaves like a stopped process: the kernel still accepts connections and
+    bytes."""
 
     __slots__ = (
         "cold_until_s",
@@ -125,31 +129,32 @@
     def __init__(self, process: "EngineProcess", number: int) -> None:
         self.process, self.number, self.links = process, number, set[Link]()
         self.running_count, self.is_hung, self.slowdown, self.cold_until_s = 0, False, 1.0, 0.0
-        self.held_replies: list[tuple[Link, bytes]] = []  # done while it hung
+        self.held_replies: list[tuple[Link, bytes]] = []  # of requests that finished while it hung
         self.counters = dict.fromkeys(COUNTER_NAMES, 0)
         self.listener: socket.socket | None = None
 
     def listen(self, port: int) -> int:
+        """Listens at its address and returns the port; 0: any."""
         sock = socket.socket()
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind((engine_address(self.number), port))
-            sock.listen(256)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
             sock.close()
             raise
         sock.setblocking(False)
         self.listener = sock
         asyncio.get_running_loop().add_reader(sock.fileno(), self._accept)
-        found: int = sock.getsockname()[1]
-        return found
+        bound_port: int = sock.getsockname()[1]
+        return bound_port
 
     def _accept(self) -> None:
         assert self.listener is not None
         for _ in range(MAX_ACCEPTS_PER_CALLBACK):
             try:
                 sock, _ = self.listener.accept()
-            except OSError:  # nobody more, or no descriptor
+            except OSError:  # no connection waits, or no file descriptor is left
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -159,36 +164,36 @@
             asyncio.get_running_loop().add_reader(sock.fileno(), link.on_readable)
 
     def handle_request(self, link: Link, words: list[bytes], body: bytes) -> None:
-        counts = self.counters
+        counters = self.counters
         match words[0]:
             case b"do":
-                counts["queries"] += 1
-                cost_ms = float(body.rpartition(b"cost=")[2]) if b"cost=" in body else 5.0
-                crowd = max(1.0, (self.running_count + 1) / self.process.cores)
-                took_s = (
-                    cost_ms
-                    / 1000
-                    * crowd
-                    * self.current_slowdown()
-                    * self.process.random.lognormvariate(-0.08, 0.4)
-                )
+                counters["queries"] += 1
+                cost_ms = float(body.rpartition(b"cost=")[2]) if b"cost=" in body else DEFAULT_COST_MS
+                contention = max(1.0, (self.running_count + 1) / self.process.cores)
+                noise = self.process.random.lognormvariate(-0.08, 0.4)
+                duration_s = cost_ms / 1000 * contention * self.current_slowdown() * noise
                 self.running_count += 1
-                later = asyncio.get_running_loop().call_later
-                link.request_timers[words[1]] = later(took_s, self._finish, link, words[1], cost_ms)
-                if took_s > PROGRESS_INTERVAL_S:
-                    later(
-                        PROGRESS_INTERVAL_S, self._send_progress, link, words[1], took_s, PROGRESS_INTERVAL_S
+                call_later = asyncio.get_running_loop().call_later
+                link.request_timers[words[1]] = call_later(duration_s, self._finish, link, words[1], cost_ms)
+                if duration_s > PROGRESS_INTERVAL_S:
+                    call_later(
+                        PROGRESS_INTERVAL_S,
+                        self._send_progress,
+                        link,
+                        words[1],
+                        duration_s,
+                        PROGRESS_INTERVAL_S,
                     )
             case b"undo":
-                counts["undone"] += 1
+                counters["undone"] += 1
                 if (timer := link.request_timers.pop(words[1], None)) is not None:
                     timer.cancel()
                     self.running_count -= 1
             case b"ping":
-                counts["pings"] += 1
+                counters["pings"] += 1
                 link.send_reply(words[1], b"green")
             case b"top":
-                counts["probes"] += 1
+                counters["probes"] += 1
                 busy, cores = self.running_count, self.process.cores
                 report = b"stats=busy_reqs:%d;pending:%d;x0:%.3f;cpu_share:%.3f"
                 share = min(1.0, busy / cores)
@@ -198,17 +203,17 @@
             case b"bump" | b"forget":
                 pass
             case _:
-                raise ValueError("an unknown word")
+                raise ValueError("unknown command")
 
     def current_slowdown(self) -> float:
-        return self.slowdown * (self.process.cold_slowdown if time.monotonic() < self.cold_until_s else 1.0)
+        is_cold = time.monotonic() < self.cold_until_s
+        return self.slowdown * (self.process.cold_slowdown if is_cold else 1.0)
 
     def _send_progress(self, link: Link, request_id: bytes, duration_s: float, elapsed_s: float) -> None:
         if request_id in link.request_timers and elapsed_s < duration_s:
             if not self.is_hung:
                 link.send_reply(request_id, b"update", b"how=done,datum=%.3f" % (elapsed_s / duration_s))
-            later = asyncio.get_running_loop().call_later
-            later(
+            asyncio.get_running_loop().call_later(
                 PROGRESS_INTERVAL_S,
                 self._send_progress,
                 link,
@@ -231,8 +236,9 @@
     # --- Faults.
 
     def apply_fault(self, kind: str, value: float) -> None:
-        """hang; refuse (listens no more, open connections stay); crash (refuses, and resets all); cold (comes
-        back, slower for the part's cold_s); slow (`value` times the usual); sound (all of it over)."""
+        """`hang`; `refuse` (stops listening, open connections stay); `crash` (refuses, and resets all
+        connections); `cold` (recovers, but is slower for the process's cold_s); `slow` (`value` times the
+        usual duration); `sound` (ends all faults)."""
         match kind:
             case "hang":
                 self._set_hung(True)
@@ -263,14 +269,14 @@
         readers = [(link.sock, link.on_readable) for link in self.links]
         if self.listener is not None:
             readers.append((self.listener, self._accept))
-        for sock, then in readers:
+        for sock, callback in readers:
             if is_hung:
                 loop.remove_reader(sock.fileno())
             else:
-                loop.add_reader(sock.fileno(), then)
+                loop.add_reader(sock.fileno(), callback)
         held, self.held_replies = self.held_replies, []
-        for link, id in held:
-            self._finish(link, id, 5.0)
+        for link, request_id in held:
+            self._finish(link, request_id, DEFAULT_COST_MS)
 
 
 class EngineProcess:
@@ -278,17 +284,15 @@
 
     def __init__(self, config: Mapping[str, Any]) -> None:
         self.cores = int(config.get("cores", 16))
-        self.cold_s, self.cold_slowdown = (
-            float(config.get("cold_s", 15.0)),
-            float(config.get("cold_times", 3.0)),
-        )
+        self.cold_s = float(config.get("cold_s", 15.0))
+        self.cold_slowdown = float(config.get("cold_times", 3.0))
         self.first_number, self.random = int(config["first"]), random.Random(int(config.get("seed", 1)))
         self.engines = [Engine(self, self.first_number + n) for n in range(int(config["count"]))]
         self.port = self._listen_on_common_port()
 
     def _listen_on_common_port(self) -> int:
-        """One port for all: it has to be free at each address."""
-        for _ in range(20):
+        """All engines listen on one port, which has to be free at each address."""
+        for _ in range(PORT_ATTEMPTS):
             port = self.engines[0].listen(0)
             try:
                 for engine in self.engines[1:]:
@@ -299,21 +303,20 @@
                     raise
                 for engine in self.engines:
                     engine.apply_fault("refuse", 0.0)
-        raise OSError("no port that is free at all addresses")
+        raise OSError("no port is free at all addresses")
 
     def inject_fault(self, fields: Mapping[str, Any]) -> int:
-        """`engines`: numbers, or absent for all; how many of them are here."""
+        """Applies fault `what` to `engines` (numbers; absent: all); returns how many of them are here."""
         wanted = fields.get("engines")
         here = range(self.first_number, self.first_number + len(self.engines))
         chosen = here if wanted is None else [number for number in wanted if number in here]
         for number in chosen:
-            self.engines[number - self.first_number].apply_fault(
-                fields["what"], float(fields.get("value", 1.0))
-            )
+            engine = self.engines[number - self.first_number]
+            engine.apply_fault(fields["what"], float(fields.get("value", 1.0)))
         return len(chosen)
 
     def counters(self, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """Sums over all; with `each`, also lists by engine, in order of their numbers."""
+        """Sums over all engines; with `each`, also lists by engine, in the order of their numbers."""
         for engine in self.engines:
             engine.counters["open"] = len(engine.links)
         each = {name: [engine.counters[name] for engine in self.engines] for name in COUNTER_NAMES}
@@ -323,14 +326,15 @@
         }
 
     def handlers(self) -> dict[str, Handler]:
+        """By the words of the control channel."""
         return {"fault": self.inject_fault, "counts": self.counters}
 
 
 async def start(config: dict[str, Any]) -> tuple[Any, Mapping[str, Handler]]:
-    """`first` and `count` (numbers of the engines), `cores`, `seed`, `cold_s`, `cold_times`; answers (first,
-    count, port), as `entries` takes it."""
-    part = EngineProcess(config)
-    return (part.first_number, len(part.engines), part.port), part.handlers()
+    """Takes `first` and `count` (numbers of the engines), `cores`, `seed`, `cold_s` and `cold_times`; answers
+    (first, count, port), as `build_entries` takes it."""
+    process = EngineProcess(config)
+    return (process.first_number, len(process.engines), process.port), process.handlers()
 
 
 if __name__ == "__main__":
--- a/whintrail/scale/load.py
+++ b/whintrail/scale/load.py
@@ -1,6 +1,6 @@
-"""Clients of real gateways: queries at a stated rate or as fast as they come, idle sessions, empty queries.
+"""Clients of real gateways: open-loop load, closed-loop load, idle sessions and empty queries.
 
-A module for `control.serve`, so that clients have a core of their own and gateways another.
+A module for `control.serve`, so that clients use another core than the gateways.
 """
 
 import asyncio
@@ -18,6 +18,8 @@
 from whintrail.standins.scripted import settings
 
 DEFAULT_MIX = [["lookup", 5.0, 1.0]]  # class, milliseconds on one core, weight
+IDLE_SESSION_BUFFER_BYTES = 512
+PING_RETRY_S = 0.05
 
 
 def gateway_config(
@@ -32,11 +34,12 @@
     peers: Mapping[str, Any] | None = None,
     **limits: Any,
 ) -> dict[str, Any]:
-    """Of a real gateway on loopback before hollow servers. `peers`: peer_listen, peers and, where one address
-    stands for all, peers_all."""
-    given = settings(MayTell=peers is not None, **limits)
+    """The configuration of a real gateway on loopback with hollow servers.
+
+    `peers`: peer_listen, peers and, where one broadcast address reaches all, peers_all."""
+    common = settings(MayTell=peers is not None, **limits)
     names = [f"z{zone + 1}" for zone in range(zones)]
-    place = {"FleetSize": fleet_size, "Me": number, "Zones": names, "Zone": names[number % zones]}
+    own = {"FleetSize": fleet_size, "Me": number, "Zones": names, "Zone": names[number % zones]}
     return {
         "name": f"n{number}",
         "listen": listen,
@@ -44,15 +47,15 @@
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
         "bulletin": bulletin,
         "known": known,
-        "settings": {**given, **place},
+        "settings": {**common, **own},
         **(peers or {}),
     }
 
 
 def count_connections(pid: int, ports: set[int]) -> int:
-    """Open TCP connections of a process to these ports, its engines'."""
-    found = psutil.Process(pid).net_connections("tcp4")
-    return sum(bool(c.raddr) and c.raddr.port in ports and c.status == "ESTABLISHED" for c in found)
+    """Open TCP connections of a process to these remote ports."""
+    connections = psutil.Process(pid).net_connections("tcp4")
+    return sum(bool(c.raddr) and c.raddr.port in ports and c.status == "ESTABLISHED" for c in connections)
 
 
 class LoadClients:
@@ -61,11 +64,12 @@
         self.idle_sessions: list[LoadClient] = []
         self.ping_tasks: list[asyncio.Task[None]] = []
         self.ping_delays, self.longest_delay_s, self.lost_count = Delays(), 0.0, 0
-        self.waiting_since: dict[int, float] = {}  # by port, since when an answer is awaited
+        self.waiting_since: dict[int, float] = {}  # by port: when the unanswered ping was sent
 
     async def run_load(self, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """`rate` queries a second (Poisson) to each of `ports` for `seconds`; counts of ends (`served`, an
-        SQLSTATE, `lost`) and the histogram of those served."""
+        """Sends `rate` queries a second (Poisson) to each of `ports` for `seconds`.
+
+        Answers the counts of outcomes (`served`, an SQLSTATE, `lost`) and the histogram of served queries."""
         mix = [
             (str(name), float(cost), float(weight)) for name, cost, weight in fields.get("mix", DEFAULT_MIX)
         ]
@@ -73,7 +77,7 @@
             LoadGenerator(port, float(fields["rate"]), mix, self.random.getrandbits(32))
             for port in fields["ports"]
         ]
-        began = time.monotonic()
+        started = time.monotonic()
         await asyncio.gather(*(load.run(float(fields["seconds"])) for load in loads))
         ends: Counter[str] = Counter()
         delays = Delays()
@@ -82,19 +86,19 @@
             for delay in load.latencies_s:
                 delays.add(delay)
             load.close()
-        asked, took_s = sum(load.queries_sent for load in loads), time.monotonic() - began
+        asked, took_s = sum(load.queries_sent for load in loads), time.monotonic() - started
         return {"ends": dict(ends), "asked": asked, "took_s": took_s, "delays": delays.encode()}
 
     async def run_closed_loop(self, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """As many as one gateway at `port` does: `sessions` that ask again as soon as they are answered, for
-        `seconds`; queries of `cost_ms`."""
+        """Measures the throughput of the gateway at `port`: for `seconds`, each of `sessions` sends its next
+        query, of `cost_ms`, as soon as the last one is answered."""
         ends: Counter[str] = Counter()
-        delays, until = Delays(), time.monotonic() + float(fields["seconds"])
+        delays, end_at = Delays(), time.monotonic() + float(fields["seconds"])
 
-        async def one() -> None:
+        async def run_session() -> None:
             client = LoadClient(int(fields["port"]))
             try:
-                while (now := time.monotonic()) < until:
+                while (now := time.monotonic()) < end_at:
                     end = await client.run_query(self._build_query(float(fields.get("cost_ms", 1.0))))
                     ends[end] += 1
                     if end == "served":
@@ -104,9 +108,9 @@
             finally:
                 client.close()
 
-        began = time.monotonic()
-        await asyncio.gather(*(one() for _ in range(int(fields["sessions"]))))
-        return {"ends": dict(ends), "took_s": time.monotonic() - began, "delays": delays.encode()}
+        started = time.monotonic()
+        await asyncio.gather(*(run_session() for _ in range(int(fields["sessions"]))))
+        return {"ends": dict(ends), "took_s": time.monotonic() - started, "delays": delays.encode()}
 
     def _build_query(self, cost_ms: float) -> str:
         call, group = f"{self.random.getrandbits(64):016x}", self.random.randrange(50)
@@ -114,10 +118,10 @@
         return f"/* {fields} */ SELECT 1 FROM sales_{group}.t -- cost={cost_ms}"
 
     async def hold_sessions(self, fields: Mapping[str, Any]) -> int:
-        """Open `sessions` more at `port`, and leave them idle; how many are held in all."""
+        """Opens `sessions` more at `port` and leaves them idle; returns how many are held in all."""
         for _ in range(int(fields["sessions"])):
             client = LoadClient(int(fields["port"]))
-            client.chunk = bytearray(512)
+            client.chunk = bytearray(IDLE_SESSION_BUFFER_BYTES)
             await client.open()
             self.idle_sessions.append(client)
         return len(self.idle_sessions)
@@ -127,65 +131,75 @@
             self.idle_sessions.pop().close()
 
     def start_pings(self, fields: Mapping[str, Any]) -> None:
-        """From now on an empty query each `every_s` at each of `ports`, on a session of its own: how long the
-        gateway's loop stands at most. An answer that is late holds up the next, and is counted once."""
+        """From now on sends an empty query every `every_s` to each of `ports`, on a session of its own.
+
+        The delays show how long the gateway's event loop stalls. A late answer postpones the next query and
+        counts once."""
         for task in self.ping_tasks:
             task.cancel()
-        every_s = float(fields.get("every_s", 0.01))
+        interval_s = float(fields.get("every_s", 0.01))
         loop = asyncio.get_running_loop()
-        self.ping_tasks = [loop.create_task(self._run_pings(port, every_s)) for port in fields["ports"]]
+        self.ping_tasks = [loop.create_task(self._run_pings(port, interval_s)) for port in fields["ports"]]
         self.take_stalls({})
 
     async def _run_pings(self, port: int, interval_s: float) -> None:
         client = LoadClient(port)
         try:
             while True:
-                began = self.waiting_since[port] = time.monotonic()
+                started = self.waiting_since[port] = time.monotonic()
                 try:
                     await client.run_query("")
-                except OSError:  # the gateway is down, or made room for another session
+                except OSError:  # the gateway is down, or closed this session to make room for another
                     self.lost_count += 1
                     client.close()
-                    await asyncio.sleep(0.05)
+                    await asyncio.sleep(PING_RETRY_S)
                     continue
-                passed = time.monotonic() - began
-                self.ping_delays.add(passed)
-                self.longest_delay_s = max(self.longest_delay_s, passed)
+                delay_s = time.monotonic() - started
+                self.ping_delays.add(delay_s)
+                self.longest_delay_s = max(self.longest_delay_s, delay_s)
                 del self.waiting_since[port]
-                await asyncio.sleep(max(0.0, interval_s - passed))
+                await asyncio.sleep(max(0.0, interval_s - delay_s))
         finally:
             self.waiting_since.pop(port, None)
             client.close()
 
     def take_stalls(self, _: Mapping[str, Any]) -> dict[str, Any]:
-        """Since the last call: the longest wait for an empty query's answer in seconds, one that still goes
-        on too, all answers, and how many were lost."""
+        """Since the last call: the longest delay of an empty query in seconds, including one that is still
+        unanswered, the histogram of all answers, and how many were lost."""
         now = time.monotonic()
         self.longest_delay_s = max(
             [self.longest_delay_s, *(now - since for since in self.waiting_since.values())]
         )
-        told = {
+        stalls = {
             "longest_s": self.longest_delay_s,
             "delays": self.ping_delays.encode(),
             "lost": self.lost_count,
         }
         self.ping_delays, self.longest_delay_s, self.lost_count = Delays(), 0.0, 0
-        return told
+        return stalls
 
     async def wait_until_serving(self, fields: Mapping[str, Any]) -> list[bool]:
-        """Whether each of `ports` answers a start-up within `tries` tries, 50 ms apart."""
+        """Whether each of `ports` answers a start-up message within `tries` tries, 50 ms apart."""
         ports: Sequence[int] = fields["ports"]
         return await asyncio.gather(
             *(wait_until_serving(port, int(fields.get("tries", 200))) for port in ports)
         )
 
     def handlers(self) -> dict[str, Handler]:
-        names = ("load", "most", "hold", "release", "ping", "stalls", "serves")
-        return {name: getattr(self, name) for name in names}
+        """By the words of the control channel."""
+        return {
+            "load": self.run_load,
+            "most": self.run_closed_loop,
+            "hold": self.hold_sessions,
+            "release": self.release_sessions,
+            "ping": self.start_pings,
+            "stalls": self.take_stalls,
+            "serves": self.wait_until_serving,
+        }
 
 
 async def start(config: dict[str, Any]) -> tuple[Any, Mapping[str, Handler]]:
-    """`seed`; answers nothing."""
+    """Takes `seed`; answers nothing."""
     return None, LoadClients(config).handlers()
 
 
--- a/whintrail/scale/procs.py
+++ b/whintrail/scale/procs.py
@@ -1,9 +1,9 @@
-"""The processes of a scale run: started, asked, stopped and ended; bounded in number, memory and time.
+"""The processes of a scale run: starts, queries, signals and ends them, with limits on number, memory and
+time.
 
-Real gateways start as deploy/balancer.toml's `run` says; hollow ones by a module that calls `control.serve`.
-Nothing outlives the run: each process is killed when it ends, when a bound is passed, on Ctrl-C, and by the
-kernel where the run itself was killed (`guard`).
-"""
+Real gateways start with the `run` command of deploy/balancer.toml, hollow processes with a module that calls
+`control.serve`. No process outlives the run: each is killed when the run ends, exceeds a limit or gets
+Ctrl-C, and by the kernel when the run itself was killed (`guard`)."""
 
 import asyncio
 import os
@@ -23,35 +23,36 @@
 from whintrail.scale.measure import Reading, read_process
 
 ROOT = Path(__file__).resolve().parents[2]
-MAX_ANSWER_BYTES = 64 << 20  # of an answer on the control channel
+MAX_ANSWER_BYTES = 64 << 20  # of one line on the control channel
 ASK_TIMEOUT_S = 60.0
+BOUND_CHECK_INTERVAL_S = 0.5
 ResultT = TypeVar("ResultT")
 
 
 class BoundError(RuntimeError):
-    """The run passed its bound in number, memory or time; the text is one line."""
+    """The run exceeded its limit on processes, memory or time; the text is one line."""
 
 
 class ChildError(RuntimeError):
-    """A child ended, or could not do what it was asked."""
+    """A child ended, or answered a request with an error."""
 
 
 def gateway_command() -> str:
-    """What the deployed `run` says, with this interpreter where there is no .venv beside it."""
+    """The deployed `run` command, with this interpreter if there is no .venv in the repository."""
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         run: str = tomllib.load(file)["run"]
     return run if (ROOT / ".venv").exists() else run.replace(".venv/bin/python", sys.executable)
 
 
 class Child:
-    """One process of the run. `ask` is for hollow ones; a real gateway is spoken to by its own sockets."""
+    """One process of the run. `ask` is for hollow ones; a real gateway only has its own sockets."""
 
     def __init__(self, name: str, role: str, process: asyncio.subprocess.Process, log: Path) -> None:
         self.name, self.role, self.process, self.log = name, role, process, log
         self.pid, self.pidfd = process.pid, -1
-        with suppress(ProcessLookupError):  # it has ended already
+        with suppress(ProcessLookupError):  # it has already ended
             self.pidfd = os.pidfd_open(process.pid)
-        self.pending: dict[int, asyncio.Future[Any]] = {}
+        self.pending: dict[int, asyncio.Future[Any]] = {}  # by request id
         self.last_request_id = 0
         self.reader_task: asyncio.Task[None] | None = None
         if process.stdout is not None:
@@ -62,10 +63,10 @@
         return self.process.returncode is None
 
     async def _read_answers(self) -> None:
-        out = self.process.stdout
-        assert out is not None
+        stdout = self.process.stdout
+        assert stdout is not None
         try:
-            while line := await out.readline():
+            while line := await stdout.readline():
                 answer = orjson.loads(line)
                 future = self.pending.pop(answer["id"], None)
                 if future is None or future.done():
@@ -81,40 +82,43 @@
             self.pending.clear()
 
     async def ask(self, command: str, timeout_s: float = ASK_TIMEOUT_S, **fields: Any) -> Any:
-        """What the child answers; ChildError where it can't, TimeoutError where it doesn't in time."""
+        """Sends a request and returns the answer. Raises ChildError if the child fails, TimeoutError if it
+        does not answer in time."""
         stdin = self.process.stdin
         if stdin is None or self.reader_task is None or self.reader_task.done():
-            raise ChildError(f"{self.name} can't be asked: it has ended or is a real gateway")
+            raise ChildError(f"{self.name} takes no requests: it has ended or is a real gateway")
         self.last_request_id += 1
-        number, future = self.last_request_id, asyncio.get_running_loop().create_future()
-        self.pending[number] = future
+        request_id, future = self.last_request_id, asyncio.get_running_loop().create_future()
+        self.pending[request_id] = future
         try:
-            stdin.write(orjson.dumps({"id": number, "do": command, **fields}) + b"\n")
+            stdin.write(orjson.dumps({"id": request_id, "do": command, **fields}) + b"\n")
             await stdin.drain()
             async with asyncio.timeout(timeout_s):
                 return await future
         except ConnectionError as error:
             raise ChildError(f"{self.name} has ended; see {self.log}") from error
         finally:
-            self.pending.pop(number, None)
+            self.pending.pop(request_id, None)
 
     def signal(self, number: signal.Signals) -> None:
-        """SIGSTOP, SIGCONT, SIGTERM, SIGKILL, SIGUSR1: to this process alone, nothing if it has ended.
+        """Sends SIGSTOP, SIGCONT, SIGTERM, SIGKILL or SIGUSR1 to this process alone; does nothing if it
+        ended.
 
-        By its pidfd: `Popen.send_signal` polls first, and so takes the exit status from who waits for it.
-        """
+        Uses the pidfd: `Popen.send_signal` polls first, which takes the exit status away from the waiting
+        task."""
         with suppress(ProcessLookupError):
             if self.pidfd >= 0:
                 signal.pidfd_send_signal(self.pidfd, number)
 
     async def wait_ended(self, timeout_s: float) -> bool:
+        """Whether the process has ended within the timeout."""
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self.process.wait()
         return not self.is_alive
 
     async def kill(self) -> None:
-        """A stopped process too: SIGKILL needs no SIGCONT."""
+        """Ends a stopped process too: SIGKILL needs no SIGCONT."""
         if self.is_alive:
             self.signal(signal.SIGKILL)
         await self.process.wait()
@@ -126,10 +130,10 @@
 
 
 class ProcessGroup:
-    """All processes of a run: `async with Group(folder, memory_mb=12000, seconds=600) as group`.
+    """All processes of a run: `async with ProcessGroup(folder, memory_mb=12000, seconds=600) as group`.
 
-    `memory_mb` bounds the sum of their resident sizes and this process's (pages they share counted by each).
-    """
+    `memory_mb` limits the sum of the resident sizes of all processes and this one; shared pages count once
+    per process."""
 
     def __init__(self, folder: Path, memory_mb: float, seconds: float, max_processes: int = 300) -> None:
         self.folder, self.memory_mb, self.seconds, self.max_processes = (
@@ -141,7 +145,7 @@
         self.children: dict[str, Child] = {}
         self.starting_count = 0
         self.started_at_s = time.monotonic()
-        self.peak_mb = 0.0  # seen so far
+        self.peak_mb = 0.0
         self.bound_exceeded: asyncio.Future[None] | None = None
         self.watch_task: asyncio.Task[None] | None = None
 
@@ -159,7 +163,7 @@
             self.watch_task.cancel()
             await asyncio.gather(self.watch_task, return_exceptions=True)
         if self.bound_exceeded is not None and self.bound_exceeded.done():
-            self.bound_exceeded.exception()  # it was told, or the run ended of something else
+            self.bound_exceeded.exception()  # retrieved, so that asyncio logs no warning
         for child in self.children.values():
             child.signal(signal.SIGKILL)
         await asyncio.gather(*(child.kill() for child in self.children.values()))
@@ -170,11 +174,9 @@
         self, name: str, role: str, command: list[str], has_control_channel: bool, **environment: str
     ) -> Child:
         if name in self.children and self.children[name].is_alive:
-            raise ValueError(f"{name} runs already")
-        if (
-            self.starting_count + sum(child.is_alive for child in self.children.values())
-            >= self.max_processes
-        ):
+            raise ValueError(f"{name} is already running")
+        alive_count = sum(child.is_alive for child in self.children.values())
+        if self.starting_count + alive_count >= self.max_processes:
             raise BoundError(f"over the bound of {self.max_processes} processes")
         self.starting_count += 1
         log = self.folder / f"{name}.log"
@@ -187,7 +189,7 @@
                     stdin=asyncio.subprocess.PIPE if has_control_channel else asyncio.subprocess.DEVNULL,
                     stdout=asyncio.subprocess.PIPE if has_control_channel else errors,
                     stderr=errors,
-                    start_new_session=True,  # the terminal's Ctrl-C is the run's alone, which ends them
+                    start_new_session=True,  # Ctrl-C reaches only the run, which ends the children
                     limit=MAX_ANSWER_BYTES,
                 )
         finally:
@@ -196,7 +198,7 @@
         return child
 
     async def start(self, name: str, role: str, module: str, config: Mapping[str, Any]) -> tuple[Child, Any]:
-        """A hollow process, and what it answers to `start`."""
+        """Starts a hollow process; returns it and its answer to `start`."""
         child = await self._spawn(name, role, [sys.executable, "-m", module], has_control_channel=True)
         return child, await child.ask("start", **config)
 
@@ -207,8 +209,8 @@
         operator: Mapping[str, Any] | None = None,
         **environment: str,
     ) -> Child:
-        """A real gateway by `run`'s own way: RELAY_CONFIG, and WHINTRAIL_FILE where `operator` is given. It
-        may not serve yet (`load.until_serves`)."""
+        """Starts a real gateway by the `run` command, with RELAY_CONFIG, and WHINTRAIL_FILE if `operator` is
+        given. It may not serve yet when this returns (`load.until_serves`)."""
         path = self.folder / f"{name}.json"
         path.write_bytes(orjson.dumps(config))
         if operator is not None:
@@ -220,23 +222,24 @@
             name, "gateway", command, has_control_channel=False, RELAY_CONFIG=str(path), **environment
         )
 
-    # --- Bounds.
+    # --- Limits.
 
     async def _watch_bounds(self) -> None:
         assert self.bound_exceeded is not None
         while True:
-            await asyncio.sleep(0.5)
-            used = self.used_mb()
-            self.peak_mb = max(self.peak_mb, used)
-            why = ""
-            if used > self.memory_mb:
-                why = f"memory: {used:.0f} MB over the bound of {self.memory_mb:.0f} MB"
+            await asyncio.sleep(BOUND_CHECK_INTERVAL_S)
+            used_mb = self.used_mb()
+            self.peak_mb = max(self.peak_mb, used_mb)
+            reason = ""
+            if used_mb > self.memory_mb:
+                reason = f"memory: {used_mb:.0f} MB over the bound of {self.memory_mb:.0f} MB"
             elif time.monotonic() - self.started_at_s > self.seconds:
-                why = f"time: over the bound of {self.seconds:.0f} s"
-            if why and not self.bound_exceeded.done():
-                self.bound_exceeded.set_exception(BoundError(why))
+                reason = f"time: over the bound of {self.seconds:.0f} s"
+            if reason and not self.bound_exceeded.done():
+                self.bound_exceeded.set_exception(BoundError(reason))
 
     def used_mb(self) -> float:
+        """The sum of the resident sizes of this process and all living children."""
         total = 0
         for pid in [os.getpid(), *(child.pid for child in self.children.values() if child.is_alive)]:
             with suppress(psutil.Error):
@@ -244,7 +247,7 @@
         return total / (1 << 20)
 
     async def run_within_bounds(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
-        """The work's result; BoundError as soon as a bound is passed."""
+        """Returns the result of `work`; cancels it and raises BoundError as soon as a limit is exceeded."""
         assert self.bound_exceeded is not None
         task = asyncio.get_running_loop().create_task(work)
         try:
@@ -260,7 +263,7 @@
     # --- Measuring.
 
     def readings(self, role: str | None = None) -> dict[str, Reading]:
-        """Of each living process (of the role): processor time, memory, descriptors, as of now."""
+        """The CPU time, memory and descriptors of each living process (of the role), as of now."""
         found = {}
         for name, child in self.children.items():
             if child.is_alive and role in (None, child.role):
