--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The scale run: a small size end to end, the auditor on its own, and broken variants that it catches."""
+"""Tests of the scale run: a small size end to end, and the auditor with correct and faulty gateways."""
 
 import os
 import signal
@@ -24,122 +24,124 @@
 LEASE_US = 1_200_000
 
 
-# --- The auditor alone. Times are microseconds.
+# --- The auditor alone. Times are in microseconds.
 
 
 def build_auditor(gateways: int = 3) -> Auditor:
-    found = Auditor(gateways, MAX_OVERLAP_US)
+    auditor = Auditor(gateways, MAX_OVERLAP_US)
     for number in range(gateways):
-        found.record_event("up", number, 0, 1)
-    return found
+        auditor.record_event("up", number, 0, 1)
+    return auditor
 
 
 def play_gateway(
     auditor: Auditor, number: int, lease: VersionLease, end_us: int, respects_expiry: bool
 ) -> None:
-    """A gateway's turns, each 50 ms, telling the auditor as hollow ones do."""
-    told: tuple[str, bool] | None = None
+    """Reports the rules of a gateway to the auditor at each change, as hollow gateways do; a tick is 50
+    ms."""
+    reported: tuple[str, bool] | None = None
     for now in range(0, end_us, 50_000):
         rule = lease.active_version(now)
-        acts = rule.label, rule.leased or not respects_expiry
-        if acts != told:
-            told = acts
-            auditor.record_event("rule", number, now, *acts)
-
-
-@pytest.mark.parametrize("heeds_lapses", [True, False])
-def test_a_gateway_that_ignores_its_lease_expiry_is_a_breach(heeds_lapses: bool) -> None:
-    """n0 is cut off with a lease on version 0; the others go on to version 1, after T, as a leader must."""
-    found = build_auditor()
-    cut_off = VersionLease()
-    cut_off.renew(0, Phase.SETTLED, LEASE_US, {0: Rules()})
-    play_gateway(found, 0, cut_off, 10_000_000, heeds_lapses)
+        active = rule.label, rule.leased or not respects_expiry
+        if active != reported:
+            reported = active
+            auditor.record_event("rule", number, now, *active)
+
+
+@pytest.mark.parametrize("respects_expiry", [True, False])
+def test_a_gateway_that_ignores_its_lease_expiry_is_a_breach(respects_expiry: bool) -> None:
+    """n0 is partitioned with a lease on version 0; the others go on to version 1 after the maximal
+    overlap."""
+    auditor = build_auditor()
+    partitioned = VersionLease()
+    partitioned.renew(0, Phase.SETTLED, LEASE_US, {0: Rules()})
+    play_gateway(auditor, 0, partitioned, 10_000_000, respects_expiry)
     for number in (1, 2):
-        found.record_event("rule", number, 0, "0", True)
-        found.record_event("rule", number, 200_000, "0>1", True)
-        found.record_event("rule", number, 200_000 + MAX_OVERLAP_US, "1", True)
-    found.check_rules(10_000_000)
-    assert bool(found.breaches) is not heeds_lapses
+        auditor.record_event("rule", number, 0, "0", True)
+        auditor.record_event("rule", number, 200_000, "0>1", True)
+        auditor.record_event("rule", number, 200_000 + MAX_OVERLAP_US, "1", True)
+    auditor.check_rules(10_000_000)
+    assert bool(auditor.breaches) is not respects_expiry
 
 
 @pytest.mark.parametrize("skipped", [None, 3])
 def test_a_gateway_that_skips_a_delta_is_a_breach(skipped: int | None) -> None:
-    found = build_auditor()
+    auditor = build_auditor()
     ready = [f"s-{number}" for number in range(10)]
     digests = {1: digest_names(ready)}
-    found.record_published(1, 1000, digests[1])
+    auditor.record_published(1, 1000, digests[1])
     for generation in range(2, 6):
         digests[generation] = digest_names(ready[generation:])
-        found.record_published(generation, generation * 1000, digests[generation])
+        auditor.record_published(generation, generation * 1000, digests[generation])
     for number in range(3):
         for generation in range(1, 6):
             if (number, generation) != (1, skipped):
-                found.record_event("list", number, generation * 1000 + 10 * number, generation, 0)
-    found.check_lists(10_000_000, 1_000_000)
-    assert [("n1" in b and "generation 3" in b) for b in found.breaches] == ([True] if skipped else [])
-    assert sorted(found.list_delays())[-1] == 20
+                auditor.record_event("list", number, generation * 1000 + 10 * number, generation, 0)
+    auditor.check_lists(10_000_000, 1_000_000)
+    assert [("n1" in b and "generation 3" in b) for b in auditor.breaches] == ([True] if skipped else [])
+    assert sorted(auditor.list_delays())[-1] == 20
 
 
 def test_a_different_list_under_the_same_generation_is_a_breach() -> None:
-    found = build_auditor()
-    found.record_published(1, 0, digest_names(["a", "b"]))
-    found.check_digests([(0, 1, digest_names(["b", "a"])), (1, 1, digest_names(["a"]))])
-    assert found.breaches == ["n1 holds another list under generation 1"]
+    auditor = build_auditor()
+    auditor.record_published(1, 0, digest_names(["a", "b"]))
+    auditor.check_digests([(0, 1, digest_names(["b", "a"])), (1, 1, digest_names(["a"]))])
+    assert auditor.breaches == ["n1 has a different list under generation 1"]
 
 
 def test_no_breach_for_gateways_that_were_down_or_still_have_time() -> None:
-    found = build_auditor()
-    found.record_down(2, 500)
-    found.record_published(1, 1000)
-    found.record_event("list", 0, 1100, 1, 0)
-    found.check_lists(1_000_000, 1_000_000)  # n1 has time yet
-    assert found.breaches == []
-    found.check_lists(3_000_000, 1_000_000)
-    assert found.breaches == ["n1 never had generation 1 of the list"]
+    auditor = build_auditor()
+    auditor.record_down(2, 500)
+    auditor.record_published(1, 1000)
+    auditor.record_event("list", 0, 1100, 1, 0)
+    auditor.check_lists(1_000_000, 1_000_000)  # n1 still has time
+    assert auditor.breaches == []
+    auditor.check_lists(3_000_000, 1_000_000)
+    assert auditor.breaches == ["n1 never received generation 1 of the list"]
 
 
 def test_an_engine_with_too_few_holders_is_a_breach() -> None:
-    found = build_auditor()
-    found.check_holders([["a", "b"], ["a", "b"], ["b", "c"]], {"a", "b"}, 2)
-    assert found.breaches == []
-    found.check_holders([["a", "b"], ["a"], ["b"]], {"a", "b", "c"}, 2)
-    assert found.breaches == ["1 engines are kept by fewer than 2 gateways: c by 0"]
+    auditor = build_auditor()
+    auditor.check_holders([["a", "b"], ["a", "b"], ["b", "c"]], {"a", "b"}, 2)
+    assert auditor.breaches == []
+    auditor.check_holders([["a", "b"], ["a"], ["b"]], {"a", "b", "c"}, 2)
+    assert auditor.breaches == ["1 engines are kept by fewer than 2 gateways: c by 0"]
 
 
 def test_each_gateways_view_of_departed_members_is_checked() -> None:
-    found = build_auditor(4)
-    found.record_down(3, 100)
-    found.check_members({0: [3], 1: [], 2: [3, 0], 3: [0, 1, 2]}, 200)
-    assert found.breaches == [
-        "n1 takes n3 for alive, which is down (1)",
-        "n2 takes n0 for gone, which is up (1)",
+    auditor = build_auditor(4)
+    auditor.record_down(3, 100)
+    auditor.check_members({0: [3], 1: [], 2: [3, 0], 3: [0, 1, 2]}, 200)
+    assert auditor.breaches == [
+        "n1 considers n3 alive, which is down (1)",
+        "n2 considers n0 gone, which is up (1)",
     ]
 
 
 def test_stopped_time_is_excluded_and_an_older_version_is_a_breach() -> None:
-    found = build_auditor(2)
-    found.record_event("rule", 0, 0, "0", True)
-    found.record_event("rule", 1, 0, "0", True)
-    found.record_stopped(0, 100_000)
-    found.record_event("rule", 1, 200_000, "1", True)
-    found.record_continued(0, 9_000_000)
-    found.record_event("rule", 0, 9_050_000, "0", False)
-    found.check_rules(10_000_000)
-    assert found.breaches == []
-    found.record_event("rule", 1, 9_100_000, "0", True)
-    assert found.breaches == ["n1 went back from version 1 to 0, leased"]
+    auditor = build_auditor(2)
+    auditor.record_event("rule", 0, 0, "0", True)
+    auditor.record_event("rule", 1, 0, "0", True)
+    auditor.record_stopped(0, 100_000)
+    auditor.record_event("rule", 1, 200_000, "1", True)
+    auditor.record_continued(0, 9_000_000)
+    auditor.record_event("rule", 0, 9_050_000, "0", False)
+    auditor.check_rules(10_000_000)
+    assert auditor.breaches == []
+    auditor.record_event("rule", 1, 9_100_000, "0", True)
+    assert auditor.breaches == ["n1 went back from version 1 to 0, leased"]
 
 
 def test_in_force_delays_count_from_the_proposal_and_a_restart_resets_them() -> None:
-    found = build_auditor(2)
-    found.record_event("rule", 0, 1_000, "1", True)
-    found.record_event("rule", 1, 3_000, "1", True)
-    assert found.in_force_delays("1", 500) == {0: 500, 1: 2_500}
-    assert found.gateways_not_acting_by("1", 4_000) == []
-    found.record_event("up", 1, 5_000, 2)
-    assert found.gateways_not_acting_by("1", 6_000) == [1]
-    found.record_event("rule", 1, 7_000, "0", True)  # what a new process knows at first
-    assert found.breaches == []
+    auditor = build_auditor(2)
+    auditor.record_event("rule", 0, 1_000, "1", True)
+    auditor.record_event("rule", 1, 3_000, "1", True)
+    assert auditor.in_force_delays("1", 500) == {0: 500, 1: 2_500}
+    assert auditor.gateways_not_acting_by("1", 4_000) == []
+    auditor.record_event("up", 1, 5_000, 2)
+    assert auditor.gateways_not_acting_by("1", 6_000) == [1]
+    auditor.record_event("rule", 1, 7_000, "0", True)  # a new process starts with version 0
+    assert auditor.breaches == []
 
 
 # --- Files.
@@ -163,12 +165,12 @@
 def test_the_small_size_completes_without_a_breach(tmp_path: Path) -> None:
     to = tmp_path / "run.json"
     assert main(["scale", "run", str(SMALL), "--seconds", "120", "--to", str(to)]) == 0
-    found = {(s.quantity, s.day, s.role): s for s in load_results(to).samples}
-    assert all(s.value == 0 for (name, _, _), s in found.items() if name == "breaches")
-    assert found["version_in_force_s", "changes", "gateway"].n >= 1
-    assert found["list_apply_s", "changes", "gateway"].n >= 12
-    assert found["faults", "steady", "gateway"].high == 0
-    assert found["memo_datagrams_per_s", "steady", "gateway"].value > 0
+    samples = {(s.quantity, s.day, s.role): s for s in load_results(to).samples}
+    assert all(s.value == 0 for (name, _, _), s in samples.items() if name == "breaches")
+    assert samples["version_in_force_s", "changes", "gateway"].n >= 1
+    assert samples["list_apply_s", "changes", "gateway"].n >= 12
+    assert samples["faults", "steady", "gateway"].high == 0
+    assert samples["memo_datagrams_per_s", "steady", "gateway"].value > 0
 
 
 def test_a_memory_limit_ends_the_run_with_one_line_and_no_process(
--- a/whintrail/scale/run.py
+++ b/whintrail/scale/run.py
@@ -1,4 +1,4 @@
-"""`whintrail scale run` and `sweep`: sizes played with hollow and real gateways on this machine."""
+"""`whintrail scale run` and `sweep`: play sizes with hollow and real gateways on this machine."""
 
 import asyncio
 import sys
@@ -15,7 +15,9 @@
 from whintrail.scale.results import Sample, current_machine, save_results
 from whintrail.scale.rig import Rig, SizeError
 
-RESULTS_NOTE = (
+MAX_BREACHES_TEXT = 1500  # characters of the breaches in a file of results
+MAX_BREACHES_SHOWN = 20
+RESULTS_NOTE = (  # of each file of results
     "Hollow gateways run the program's owner, module, peers, bulletin reader and fleet part with real"
     " datagrams on loopback, many to a process; they have no sessions and no links to engines. Engines are a"
     " model in the process: a query is answered after 20 ms in the mean, a probe after 1 ms with a load drawn"
@@ -26,71 +28,76 @@
 
 
 def build_logger() -> structlog.typing.FilteringBoundLogger:
+    """A logger of logfmt lines on stderr."""
     processors: list[structlog.typing.Processor] = [
         structlog.processors.TimeStamper(fmt="%H:%M:%S", utc=True),
         structlog.processors.LogfmtRenderer(key_order=["timestamp", "event"]),
     ]
-    made: structlog.typing.FilteringBoundLogger = structlog.wrap_logger(
+    logger: structlog.typing.FilteringBoundLogger = structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr), processors=processors, size=""
     )
-    return made
+    return logger
 
 
 async def play_size(
     size: Size, folder: Path, seconds: float, memory_mb: float
 ) -> tuple[list[Sample], list[str]]:
-    """Its samples and the auditor's breaches. Errors: BoundError, SizeError, ChildError."""
-    said = build_logger().bind(size=size.name)
+    """Plays all days of a size. Returns its samples and the auditor's breaches; an error that ends the size
+    early is the last of the breaches."""
+    log = build_logger().bind(size=size.name)
     async with ProcessGroup(folder, memory_mb=memory_mb, seconds=seconds) as group:
-        rig = Rig(size, group, said.info)
-        days = DayPlayer(rig, said.info)
+        rig = Rig(size, group, log.info)
+        player = DayPlayer(rig, log.info)
 
-        async def whole() -> None:
-            began = time.monotonic()
+        async def play_days() -> None:
+            started = time.monotonic()
             await rig.start()
-            said.info("started", processes=len(group.children), took_s=round(time.monotonic() - began, 1))
-            joined = await rig.wait_until_joined(size.join_s)
-            days.record(size.days[0], "joined_s", "s", [joined], role="fleet")
-            said.info("joined", took_s=round(joined, 1))
+            log.info("started", processes=len(group.children), took_s=round(time.monotonic() - started, 1))
+            joined_s = await rig.wait_until_joined(size.join_s)
+            player.record(size.days[0], "joined_s", "s", [joined_s], role="fleet")
+            log.info("joined", took_s=round(joined_s, 1))
             for day in size.days:
-                await days.play(day)
+                await player.play(day)
 
         try:
-            await group.run_within_bounds(whole())
+            await group.run_within_bounds(play_days())
         except (BoundError, SizeError, ChildError, TimeoutError) as error:
-            said.error("ended", why=str(error) or type(error).__name__)
-            return days.samples, [*rig.auditor.breaches, f"not whole: {error}"]
-        return days.samples, rig.auditor.breaches
+            log.error("ended", why=str(error) or type(error).__name__)
+            return player.samples, [*rig.auditor.breaches, f"incomplete: {error}"]
+        return player.samples, rig.auditor.breaches
 
 
 def _play_all(sweep: Sweep, seconds: float, memory_mb: float, to: Path | None, command: str) -> int:
-    count = 0
-    bad: list[str] = []
+    """Plays the sizes one after another and saves their results; returns the exit status."""
+    sample_count = 0
+    failures: list[str] = []
     end = time.monotonic() + seconds
     for size in sweep.sizes:
-        left, began, machine = end - time.monotonic(), time.time(), current_machine()
-        if left <= 1:
-            bad.append(f"{size.name}: not run, no time left")
+        remaining_s, started, machine = end - time.monotonic(), time.time(), current_machine()
+        if remaining_s <= 1:
+            failures.append(f"{size.name}: not run, no time left")
             continue
         with tempfile.TemporaryDirectory() as folder:
             try:
                 import uvloop
 
                 with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-                    found, breaches = runner.run(play_size(size, Path(folder), left, memory_mb))
+                    samples, breaches = runner.run(play_size(size, Path(folder), remaining_s, memory_mb))
             except KeyboardInterrupt:
                 click.echo("whintrail: interrupted, all processes ended", err=True)
                 return 130
-        count += len(found)
-        bad += [f"{size.name}: {breach}" for breach in breaches]
-        if to is not None:  # after each size: what is measured is kept
-            told = "; ".join(breaches)[:1500] or "none"
+        sample_count += len(samples)
+        failures += [f"{size.name}: {breach}" for breach in breaches]
+        if to is not None:  # saved after each size, so that an interrupted sweep keeps its results
+            breaches_text = "; ".join(breaches)[:MAX_BREACHES_TEXT] or "none"
             path = to / f"run-{size.name}.json" if to.is_dir() else to
-            save_results(path, command, began, machine, found, f"{RESULTS_NOTE} Breaches: {told}.")
-    for line in bad[:20]:
+            save_results(
+                path, command, started, machine, samples, f"{RESULTS_NOTE} Breaches: {breaches_text}."
+            )
+    for line in failures[:MAX_BREACHES_SHOWN]:
         click.echo(f"whintrail: {line}", err=True)
-    click.echo(f"{len(sweep.sizes)} sizes, {count} samples, {len(bad)} breaches")
-    return 1 if bad else 0
+    click.echo(f"{len(sweep.sizes)} sizes, {sample_count} samples, {len(failures)} breaches")
+    return 1 if failures else 0
 
 
 def _add_options(command: click.decorators.FC) -> click.decorators.FC:
@@ -112,12 +119,12 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
-@click.option("--size", "name", help="Which one of the file's; default: its first.")
+@click.option("--size", "name", help="Name of the size; default: the first of the file.")
 @_add_options
 def run(file: Path, name: str | None, seconds: float, memory_mb: float, to: Path | None) -> int:
-    """Play one size of FILE: hollow and real gateways, real datagrams, days with faults, an auditor.
+    """Play one size of FILE: hollow and real gateways, real datagrams, days with faults, and an auditor.
 
-    Exit status 1 where the auditor found a breach or the size could not be played within the bounds.
+    Exits with status 1 if the auditor found a breach or the size could not be played within the limits.
     """
     sweep = _read_sweep_file(file)
     chosen = [size for size in sweep.sizes if name in (None, size.name)][:1]
@@ -131,8 +138,8 @@
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
 @_add_options
 def sweep(file: Path, seconds: float, memory_mb: float, to: Path | None) -> int:
-    """Play all sizes of FILE one after another; --to is a folder, in which each size has a file run-NAME.json
-    as soon as it is over."""
+    """Play all sizes of FILE one after another; --to is a folder, to which each size writes a file
+    run-NAME.json when it ends."""
     if to is not None:
         to.mkdir(parents=True, exist_ok=True)
     return _play_all(_read_sweep_file(file), seconds, memory_mb, to, f"whintrail scale sweep {file}")
