--- a/deploy/scale/small.jsonnet
+++ b/deploy/scale/small.jsonnet
@@ -1,4 +1,4 @@
-// The size that the tests play: whintrail scale run deploy/scale/small.jsonnet
+// The size that the tests run: whintrail scale run deploy/scale/small.jsonnet
 {
   version: 1,
   sizes: [
--- a/deploy/scale/subset.jsonnet
+++ b/deploy/scale/subset.jsonnet
@@ -1,6 +1,6 @@
-// The same sizes with all engines at each gateway, and with a part of them:
+// Sizes in which each gateway keeps all engines, and the same with a subset of the engines:
 //     whintrail scale sweep deploy/scale/subset.jsonnet --seconds 900 --memory-mb 5000 --to docs/capacity
-// An engine is kept by eight gateways at least, so that a part is no smaller than 8 * engines / gateways.
+// Each engine is kept by at least eight gateways, so a subset has at least 8 * engines / gateways engines.
 local size(gateways, engines, part) = {
   name: 'g%d-e%d%s' % [gateways, engines, if part > 0 then '-subset' else '-whole'],
   gateways: gateways,
--- a/deploy/scale/sweep.jsonnet
+++ b/deploy/scale/sweep.jsonnet
@@ -1,6 +1,6 @@
 // Sizes for `whintrail scale sweep deploy/scale/sweep.jsonnet --seconds 3600 --memory-mb 6000 --to docs/capacity`, smallest
-// first; one by name: `whintrail scale run deploy/scale/sweep.jsonnet --size g100-e80`. A core bears some 60 hollow
-// gateways with 80 engines: a size that the machine can't bear shows in loop_stall_ms and lost_share.
+// first; a single one: `whintrail scale run deploy/scale/sweep.jsonnet --size g100-e80`. One core can run about 60 hollow
+// gateways with 80 engines; a size that overloads the machine shows high loop_stall_ms and lost_share.
 local steady = { act: 'steady', seconds: 8 };
 local changes = { act: 'changes', seconds: 12, rate: 7.4 };  // ten times 64,000 a day
 local size(gateways, engines, more={}) = {
@@ -8,10 +8,10 @@
   gateways: gateways,
   engines: engines,
   processes: 2,
-  // A gateway probes no more often than it has queries; so many that the fleet asks each engine each 0.6 s.
+  // A gateway sends at most as many probes as it has queries; with this rate the fleet probes each engine every 0.6 s.
   queries_per_s: std.min(100, std.max(2, 2 * engines / gateways)),
   zones: 19,
-  // A leader answers each member's question for its lease 2.5 times a second, whatever the fleet's size.
+  // The leader answers each member's lease request 2.5 times a second, at any size of the fleet.
   messages_per_s: std.max(400, 8 * gateways),
   bytes_per_s: std.max(40000, 800 * gateways),
   join_s: 120,
@@ -35,12 +35,12 @@
     size(25, 80),
     size(50, 80),
     size(12, 160),
-    // Members and versions alone: no memos, and no queries that would pay for probes.
+    // Membership and versions alone: no probe reports, and no queries, so no probes.
     size(50, 80, { name: 'm50' } + alone),
     size(100, 80, { name: 'm100' } + alone),
     size(200, 80, { name: 'm200' } + alone),
-    // The list alone, without memos and with few queries: each of them hears of each engine each 0.6 s, and a
-    // look through the engines, with each query at most, costs their square.
+    // The list alone, without probe reports and with few queries. With them, each gateway would get a report on each
+    // engine every 0.6 s and scan all engines for it, at most once per query: a cost that grows with their square.
     size(12, 500, { memos: false, queries_per_s: 1 }),
     size(12, 2000, { memos: false, queries_per_s: 1 }),
     size(4, 15000, { memos: false, queries_per_s: 0, split: 8, processes: 1 }),
--- a/tests/test_scale_servers.py
+++ b/tests/test_scale_servers.py
@@ -1,4 +1,4 @@
-"""The servers of a scale run, its processes and what it measures, small and on loopback."""
+"""Tests of the hollow servers of a scale run, its process group and its measurements, on loopback."""
 
 import asyncio
 import os
@@ -33,19 +33,19 @@
 
 
 async def wait_until(condition: Callable[[], Any], seconds: float = WAIT_TIMEOUT_S) -> None:
-    """`what` may give an awaitable."""
+    """`condition` may return an awaitable."""
     end = time.monotonic() + seconds
     while True:
-        found = condition()
-        if asyncio.iscoroutine(found):
-            found = await found
-        if found:
+        result = condition()
+        if asyncio.iscoroutine(result):
+            result = await result
+        if result:
             return
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "the condition did not hold in time"
         await asyncio.sleep(0.01)
 
 
-# --- Engines and bulletin before a real gateway.
+# --- Engines and bulletin with a real gateway.
 
 
 def test_engines_answer_a_real_gateway_and_count_requests(tmp_path: Path) -> None:
@@ -53,11 +53,11 @@
         async with ProcessGroup(tmp_path, 2000, 60) as group:
             site = Site(group, 40, 1, socket_limit=256)
             await site.start()
-            told = await site.clients.ask("load", ports=site.ports, rate=100, seconds=1.0)
-            assert told["ends"] == {"served": told["asked"]} and told["asked"] > 0
-            assert len(measure.Delays.merged([told["delays"]])) == told["asked"]
+            answer = await site.clients.ask("load", ports=site.ports, rate=100, seconds=1.0)
+            assert answer["ends"] == {"served": answer["asked"]} and answer["asked"] > 0
+            assert len(measure.Delays.merged([answer["delays"]])) == answer["asked"]
             counts = await site.engines[0].ask("counts", each=True)
-            assert counts["queries"] >= counts["served"] >= told["asked"]
+            assert counts["queries"] >= counts["served"] >= answer["asked"]
             assert all(sum(each) == counts[name] for name, each in counts["each"].items())
             assert all(len(each) == 40 for each in counts["each"].values())
             assert load.count_connections(site.gateways[0].pid, site.engine_ports) == counts["open"] > 0
@@ -70,8 +70,8 @@
         async with ProcessGroup(tmp_path, 2000, 60) as group:
             site = Site(group, 2000, 1, socket_limit=256)
             await site.start()
-            for do in ("change", "whole", "change"):
-                (seconds,) = await site.publish(do, WAIT_TIMEOUT_S)
+            for command in ("change", "whole", "change"):
+                (seconds,) = await site.publish(command, WAIT_TIMEOUT_S)
                 assert seconds is not None and seconds > 0
             state = await site.bulletin.ask("state")
             assert (state["followers"], state["asked"], state["events_told"]) == (1, 1, 3)
@@ -80,7 +80,8 @@
 
 
 def test_a_full_list_over_the_line_limit_is_refused_and_requested_again(tmp_path: Path) -> None:
-    """What a gateway of today does with it: a thing to be measured, which the servers must not hide."""
+    """The gateway refuses a line that is too long and asks for it again; the hollow servers must not hide
+    this."""
 
     async def run() -> None:
         async with ProcessGroup(tmp_path, 2000, 60) as group:
@@ -90,22 +91,22 @@
             entries = [
                 {**engines.build_entry(n, 1, state="left"), "instanceId": f"{name}{n}"} for n in range(4600)
             ]
-            for first in (0, 2300):  # each under the bound
+            for first in (0, 2300):  # each under the limit
                 assert await site.publish("change", WAIT_TIMEOUT_S, entries=entries[first : first + 2300])
             await site.bulletin.ask("change", entries=entries)
-            await wait_until(lambda: asked_again(site))
+            await wait_until(lambda: has_requested_again(site))
             assert "a line without end" in site.gateways[0].log.read_text()
             site.gateways[0].signal(signal.SIGUSR1)
             await wait_until(lambda: "events=3" in site.gateways[0].log.read_text())  # and never the fourth
             assert "events=4" not in site.gateways[0].log.read_text()
 
-    async def asked_again(site: Site) -> bool:
+    async def has_requested_again(site: Site) -> bool:
         return bool((await site.bulletin.ask("state"))["asked"] >= 4)
 
     asyncio.run(run())
 
 
-# --- Engines by themselves.
+# --- Engines alone.
 
 
 def test_an_engine_hangs_refuses_crashes_and_recovers(tmp_path: Path) -> None:
@@ -115,9 +116,9 @@
             child, part = await group.start("engines", "engine", "whintrail.scale.engines", config)
             first, count, port = part
             assert (first, count) == (300, 5)
-            where = engines.build_entry(301, port)["hostPort"]
-            assert where == f"127.64.1.45:{port}"
-            sock, file = await asyncio.to_thread(connect, where)
+            address = engines.build_entry(301, port)["hostPort"]
+            assert address == f"127.64.1.45:{port}"
+            sock, file = await asyncio.to_thread(connect, address)
 
             def ask(line: bytes) -> bytes:
                 sock.sendall(line + b"\r\n")
@@ -127,12 +128,12 @@
             assert (await asyncio.to_thread(ask, b"ping p1")) == b"p1 green - 0\r\n\r\n"
             report = await asyncio.to_thread(ask, b"top p2")
             assert report.startswith(b"p2 green stats=busy_reqs:0;pending:0;")
-            assert await child.ask("fault", what="hang", engines=[301, 9]) == 1  # 9 is another process's
+            assert await child.ask("fault", what="hang", engines=[301, 9]) == 1  # 9 is not in this process
             waiting = asyncio.create_task(asyncio.to_thread(ask, b"ping p3"))
-            # Another engine's answer comes later than this one's would have, had it not hung.
-            other, answers = await asyncio.to_thread(connect, engines.build_entry(302, port)["hostPort"])
+            # An engine that does not hang answers a later request first.
+            other, other_file = await asyncio.to_thread(connect, engines.build_entry(302, port)["hostPort"])
             other.sendall(b"ping o1\r\n")
-            assert await asyncio.to_thread(answers.readline) == b"o1 green - 0\r\n"
+            assert await asyncio.to_thread(other_file.readline) == b"o1 green - 0\r\n"
             assert not waiting.done()
             await child.ask("fault", what="sound", engines=[301])
             assert (await waiting) == b"p3 green - 0\r\n\r\n"
@@ -140,13 +141,13 @@
             with pytest.raises(ConnectionResetError):
                 await asyncio.to_thread(ask, b"ping p4")
             with pytest.raises(ConnectionRefusedError):
-                await asyncio.to_thread(connect, where)
+                await asyncio.to_thread(connect, address)
             await child.ask("fault", what="cold", engines=[301])
-            again, _ = await asyncio.to_thread(connect, where)
+            reconnected, _ = await asyncio.to_thread(connect, address)
             await wait_until(lambda: count_of(child, 301, "connections", 2))
             with pytest.raises(ChildError, match="no fault: sleep"):
                 await child.ask("fault", what="sleep")
-            for each in (sock, other, again):
+            for each in (sock, other, reconnected):
                 each.close()
 
     async def count_of(child: Child, number: int, name: str, wanted: int) -> bool:
@@ -156,7 +157,7 @@
     asyncio.run(run())
 
 
-# --- The bulletin by itself.
+# --- The bulletin alone.
 
 
 def test_the_bulletin_sends_followers_only_events_that_are_new_to_them(tmp_path: Path) -> None:
@@ -164,34 +165,34 @@
 
     async def run() -> None:
         async with ProcessGroup(tmp_path, 2000, 60) as group:
-            child, told = await group.start(
+            child, answer = await group.start(
                 "bulletin", "bulletin", "whintrail.scale.bulletin", {"entries": entries}
             )
-            new, lines = await asyncio.to_thread(connect, told["where"])
-            old, later = await asyncio.to_thread(connect, told["where"])
-            new.sendall(b"after 0\n")
-            old.sendall(b"after 1\n")
-            whole = await asyncio.to_thread(lines.readline)
-            assert len(whole) == told["line_bytes"]
-            listed = read_list_update(orjson.loads(whole), Log("n0", 5, 1), is_first=False)
-            assert listed.event.kind is ListKind.FULL and len(listed.event.entries) == 2000
+            new_client, new_lines = await asyncio.to_thread(connect, answer["where"])
+            current_client, current_lines = await asyncio.to_thread(connect, answer["where"])
+            new_client.sendall(b"after 0\n")
+            current_client.sendall(b"after 1\n")
+            line = await asyncio.to_thread(new_lines.readline)
+            assert len(line) == answer["line_bytes"]
+            update = read_list_update(orjson.loads(line), Log("n0", 5, 1), is_first=False)
+            assert update.event.kind is ListKind.FULL and len(update.event.entries) == 2000
             number = await child.ask("change", engines=["s-000007cf"], set={"lifecycle": "leaving"})
-            for file in (lines, later):
+            for file in (new_lines, current_lines):
                 event = orjson.loads(await asyncio.to_thread(file.readline))
-                while isinstance(event, int):  # its beat
+                while isinstance(event, int):  # a heartbeat
                     event = orjson.loads(await asyncio.to_thread(file.readline))
                 assert event["no"] == number == 2
                 (changed,) = event["roster"]["instances"]
                 assert changed == {**entries[1999], "lifecycle": "leaving"}
                 assert event["at"] == pytest.approx((await child.ask("times", after=1))["2"], abs=1e-5)
-            assert orjson.loads(await asyncio.to_thread(later.readline)) == 2  # the beat
+            assert orjson.loads(await asyncio.to_thread(current_lines.readline)) == 2  # a heartbeat
             assert (await child.ask("state"))["held"] == 2
-            for sock in (new, old):
+            for sock in (new_client, current_client):
                 sock.shutdown(socket.SHUT_RDWR)
                 sock.close()
-            await wait_until(lambda: nobody(child))
+            await wait_until(lambda: has_no_followers(child))
 
-    async def nobody(child: Child) -> bool:
+    async def has_no_followers(child: Child) -> bool:
         return bool((await child.ask("state"))["followers"] == 0)
 
     asyncio.run(run())
@@ -201,11 +202,14 @@
     async def run() -> None:
         async with ProcessGroup(tmp_path, 2000, 60) as group:
             config = {"entries": engines.build_entries([(0, 10, 7000)]), "split": 2}
-            child, told = await group.start("bulletin", "bulletin", "whintrail.scale.bulletin", config)
-            sock, lines = await asyncio.to_thread(connect, told["where"])
+            child, answer = await group.start("bulletin", "bulletin", "whintrail.scale.bulletin", config)
+            sock, lines = await asyncio.to_thread(connect, answer["where"])
             sock.sendall(b"after 0\n")
-            parts = [orjson.loads(await asyncio.to_thread(lines.readline))["roster"] for _ in range(2)]
-            assert [(p["reset"], len(p["instances"])) for p in parts] == [(True, 5), (False, 5)]
+            rosters = [orjson.loads(await asyncio.to_thread(lines.readline))["roster"] for _ in range(2)]
+            assert [(roster["reset"], len(roster["instances"])) for roster in rosters] == [
+                (True, 5),
+                (False, 5),
+            ]
             await child.ask("mute", on=True)
             assert await child.ask("change") == 3
             state = await child.ask("state")
@@ -225,11 +229,11 @@
 
 
 def test_an_event_has_the_fields_of_the_protocol() -> None:
-    given = bulletin.build_known_list(engines.build_entries([(0, 2, 7000)]))
-    assert given["no"] == 1 and given["items"][0]["no"] == 1
-    listed = read_list_update(given["items"][0], Log("n0", 5, 1), is_first=True)
-    assert listed.event.kind is ListKind.CACHED and listed.generation == 1
-    assert listed.addresses == {"s-00000000": "127.64.0.0:7000", "s-00000001": "127.64.0.1:7000"}
+    known = bulletin.build_known_list(engines.build_entries([(0, 2, 7000)]))
+    assert known["no"] == 1 and known["items"][0]["no"] == 1
+    update = read_list_update(known["items"][0], Log("n0", 5, 1), is_first=True)
+    assert update.event.kind is ListKind.CACHED and update.generation == 1
+    assert update.addresses == {"s-00000000": "127.64.0.0:7000", "s-00000001": "127.64.0.1:7000"}
 
 
 # --- Processes.
@@ -237,19 +241,19 @@
 PARENT_SCRIPT = """
 import asyncio, sys
 from pathlib import Path
-from whintrail.scale.procs import Group
+from whintrail.scale.procs import ProcessGroup
 from whintrail.scale.load import gateway_config
 
 async def main():
-    async with Group(Path(sys.argv[1]), float(sys.argv[2]), float(sys.argv[3])) as group:
+    async with ProcessGroup(Path(sys.argv[1]), float(sys.argv[2]), float(sys.argv[3])) as group:
         async def work():
-            given = {"first": 0, "count": 3}
-            one, _ = await group.start("engines", "engine", "whintrail.scale.engines", given)
+            engines = {"first": 0, "count": 3}
+            engine_process, _ = await group.start("engines", "engine", "whintrail.scale.engines", engines)
             config = gateway_config(0, "127.0.0.1:%s" % sys.argv[4], "127.0.0.1:1", {"no": 0, "items": []})
-            two = await group.start_gateway("n0", config)
-            print(one.pid, two.pid, flush=True)
+            gateway = await group.start_gateway("n0", config)
+            print(engine_process.pid, gateway.pid, flush=True)
             await asyncio.sleep(60)
-        await group.within(work())
+        await group.run_within_bounds(work())
 
 asyncio.run(main())
 """
@@ -271,28 +275,28 @@
     return [psutil.Process(int(pid)) for pid in process.stdout.readline().split()]
 
 
-@pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM, signal.SIGINT])
-def test_a_run_that_is_ended_leaves_no_process_behind(tmp_path: Path, how: signal.Signals) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM, signal.SIGINT])
+def test_a_run_that_is_ended_leaves_no_process_behind(tmp_path: Path, signal_number: signal.Signals) -> None:
     with start_parent(tmp_path, 2000, 60) as process:
-        found = read_children(process)
-        assert len(found) == 2 and all(child.is_running() for child in found)
-        found[0].suspend()  # a stopped one, too
-        process.send_signal(how)
+        processes = read_children(process)
+        assert len(processes) == 2 and all(child.is_running() for child in processes)
+        processes[0].suspend()  # a stopped process has to end as well
+        process.send_signal(signal_number)
         process.wait(WAIT_TIMEOUT_S)
-        assert psutil.wait_procs(found, WAIT_TIMEOUT_S)[1] == []
+        assert psutil.wait_procs(processes, WAIT_TIMEOUT_S)[1] == []
 
 
 @pytest.mark.parametrize(
-    ("memory_mb", "seconds", "told"), [(20, 60, "memory: "), (2000, 1, "time: over the bound of 1 s")]
+    ("memory_mb", "seconds", "message"), [(20, 60, "memory: "), (2000, 1, "time: over the bound of 1 s")]
 )
 def test_a_run_over_a_limit_ends_with_a_one_line_error(
-    tmp_path: Path, memory_mb: float, seconds: float, told: str
+    tmp_path: Path, memory_mb: float, seconds: float, message: str
 ) -> None:
     with start_parent(tmp_path, memory_mb, seconds) as process:
         _, errors = process.communicate(timeout=WAIT_TIMEOUT_S)
         assert process.returncode == 1
         last = errors.strip().splitlines()[-1]
-        assert last.startswith(f"whintrail.scale.procs.BoundError: {told}")
+        assert last.startswith(f"whintrail.scale.procs.BoundError: {message}")
 
 
 def test_a_process_group_limits_its_size_and_ends_all_its_processes(tmp_path: Path) -> None:
@@ -309,27 +313,29 @@
             await child.kill()
             with pytest.raises(ChildError):
                 await child.ask("counts")
-            again, _ = await group.start("one", "engine", "whintrail.scale.engines", config)  # its old name
+            again, _ = await group.start(
+                "one", "engine", "whintrail.scale.engines", config
+            )  # the same name again
             return [child, again]
 
     for child in asyncio.run(run()):
         assert not child.is_alive and not psutil.pid_exists(child.pid)
 
 
-# --- Measures.
+# --- Measurements.
 
 
 def test_histograms_of_several_processes_merge() -> None:
-    parts = [measure.Delays() for _ in range(3)]
+    histograms = [measure.Delays() for _ in range(3)]
     for number in range(1, 301):
-        parts[number % 3].add(number / 1000)
-    whole = measure.Delays.merged(part.encode() for part in parts)
-    assert len(whole) == 300
+        histograms[number % 3].add(number / 1000)
+    merged = measure.Delays.merged(histogram.encode() for histogram in histograms)
+    assert len(merged) == 300
     for share in (0.05, 0.5, 0.99):
-        assert whole.quantile(share) == pytest.approx(0.3 * share, rel=0.01)
-    taken = whole.sample("list_apply_s", "s", (4, 80), "hollow", day="steady")
-    assert (taken.gateways, taken.engines, taken.n, taken.unit, taken.day) == (4, 80, 300, "s", "steady")
-    assert taken.low < taken.value < taken.high
+        assert merged.quantile(share) == pytest.approx(0.3 * share, rel=0.01)
+    result = merged.sample("list_apply_s", "s", (4, 80), "hollow", day="steady")
+    assert (result.gateways, result.engines, result.n, result.unit, result.day) == (4, 80, 300, "s", "steady")
+    assert result.low < result.value < result.high
     assert measure.Delays().quantile(0.5) == 0.0
 
 
@@ -349,12 +355,12 @@
         "bytes_in_per_s": 640.0,
         "bytes_out_per_s": 50.0,
     }
-    taken = measure.usage_samples(
+    samples = measure.usage_samples(
         {"a": before}, {"a": after, "b": after}, (10, 80), "hollow", 5, role="leader"
     )
-    found = {item.quantity: (item.value, item.unit, item.role, item.n) for item in taken}
-    assert found["bytes_in_per_s"] == (128.0, "bytes/s", "leader", 1)
-    assert found["cpu_share"] == (0.05, "share", "leader", 1) and len(found) == 7
+    by_quantity = {each.quantity: (each.value, each.unit, each.role, each.n) for each in samples}
+    assert by_quantity["bytes_in_per_s"] == (128.0, "bytes/s", "leader", 1)
+    assert by_quantity["cpu_share"] == (0.05, "share", "leader", 1) and len(by_quantity) == 7
 
 
 def test_a_reading_covers_cpu_time_memory_and_descriptors() -> None:
@@ -388,16 +394,16 @@
             await site.start()
             assert await site.clients.ask("hold", port=site.ports[0], sessions=10) == 10
             await site.pinger.ask("ping", ports=site.ports, every_s=0.005)
-            told = await site.clients.ask("most", port=site.ports[0], sessions=4, seconds=0.5)
-            assert told["ends"].keys() == {"served"}
-            await wait_until(lambda: pinged(site.pinger))
+            answer = await site.clients.ask("most", port=site.ports[0], sessions=4, seconds=0.5)
+            assert answer["ends"].keys() == {"served"}
+            await wait_until(lambda: has_pinged(site.pinger))
             await site.clients.ask("release")
             one = Client(site.ports[0])
             assert one.ask(query()).command_tag == "SELECT 2"
             one.close()
 
-    async def pinged(child: Child) -> bool:
-        told = await child.ask("stalls")
-        return bool(told["longest_s"] > 0 and told["lost"] == 0)
+    async def has_pinged(child: Child) -> bool:
+        stalls = await child.ask("stalls")
+        return bool(stalls["longest_s"] > 0 and stalls["lost"] == 0)
 
     asyncio.run(run())
--- a/whintrail/scale/deployment.py
+++ b/whintrail/scale/deployment.py
@@ -1,6 +1,6 @@
-"""A deployment of any size, made up by parameters: the settings of its gateways, the list of its engines.
+"""A generated deployment of any size: the settings of its gateways and the list of its engines.
 
-Nothing is a constant of a site: zones, kinds, classes and counts are fields. No address is connected to.
+Zones, machine types, query classes and counts are parameters. Nothing connects to its addresses.
 """
 
 from collections.abc import Sequence
@@ -17,22 +17,25 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """A class of queries: what one costs on its threads, and how often it is among others."""
+    """A class of queries: the cost of one query, its threads and deadline, and the class's share of the
+    load."""
 
     name: str
     cost_us: float
     threads: int
     deadline_us: int
-    weight: int  # of all queries, against the other classes'
+    weight: int  # relative frequency among all classes
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
+    """The parameters of a deployment, and what its gateways and bulletin hold."""
+
     gateways: int
     engines: int
     zones: int = 19
     cells: int = 4
-    machine_types: tuple[tuple[str, float, float], ...] = (
+    machine_types: tuple[tuple[str, float, float], ...] = (  # name, cores, memory in MB
         ("std-16", 16.0, 65_536.0),
         ("std-8", 8.0, 32_768.0),
     )
@@ -44,7 +47,7 @@
     first_started_ms: int = 1_764_000_000_000
 
     def settings(self, number: int = 0) -> api.Settings:
-        """Those of gateway `me`, read as a gateway reads them."""
+        """The settings of one gateway, parsed as a gateway parses them."""
         info = {
             "FleetSize": self.gateways,
             "Me": number,
@@ -86,7 +89,7 @@
         return [self.engine_name(number) for number in range(self.engines)]
 
     def list_item(self, number: int, lifecycle: str = "active") -> dict[str, object]:
-        """An engine as the bulletin tells of it."""
+        """An engine's entry in the bulletin's list."""
         return {
             "instanceId": self.engine_name(number),
             "hostPort": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7400",
@@ -99,7 +102,7 @@
         }
 
     def encode_line(self, event_number: int, items: Sequence[dict[str, object]], is_full: bool) -> bytes:
-        """One line of the bulletin, without a space that it does not need."""
+        """One event as the bulletin sends it, in compact JSON."""
         roster = {"generation": event_number, "reset": is_full, "instances": list(items)}
         return orjson.dumps({"no": event_number, "roster": roster}) + b"\n"
 
--- a/whintrail/scale/measure.py
+++ b/whintrail/scale/measure.py
@@ -1,7 +1,8 @@
-"""What processes of a scale run use and how long things take: readings, traffic, histograms, standstills.
+"""Measures the resource use of a scale run's processes: readings, traffic, delay histograms, event loop
+stalls.
 
-Delays are HDR histograms (Gil Tene, http://hdrhistogram.org): 1 us to 10 min at three significant digits, so
-that those of many processes add up to one without loss.
+Delays are HDR histograms (Gil Tene, http://hdrhistogram.org) from 1 us to 10 min at three significant digits,
+so that the histograms of several processes merge without loss.
 """
 
 import asyncio
@@ -15,22 +16,23 @@
 
 from whintrail.scale.results import Kind, Sample, sample
 
-DATAGRAM_HEADER_BYTES = 28  # of IPv4 and UDP, with each datagram
+DATAGRAM_HEADER_BYTES = 28  # IPv4 and UDP headers
 MAX_DELAY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 class Reading(Struct, frozen=True):
-    """Of one process at one time."""
+    """The resource use of one process at one time."""
 
     at_s: float  # monotonic
     cpu_s: float  # user and system
     rss_bytes: int
     descriptors: int
-    traffic: dict[str, int] = {}  # counters that the process told (`Traffic.counts`)
+    traffic: dict[str, int] = {}  # counters of the process's own (`Traffic.counts`)
 
 
 def read_process(pid: int, traffic: Mapping[str, int] | None = None) -> Reading:
-    """psutil.NoSuchProcess where it has ended. The kernel counts processor time in hundredths of a second."""
+    """Raises psutil.NoSuchProcess if it has ended. The kernel counts CPU time in hundredths of a second."""
     process = psutil.Process(pid)
     with process.oneshot():
         times, memory = process.cpu_times(), process.memory_info()
@@ -39,9 +41,9 @@
 
 
 class Traffic:
-    """Datagrams and bytes of one process or member; bytes hold the headers that go with each datagram."""
+    """Datagrams and bytes of one process or member; bytes include the IPv4 and UDP headers."""
 
-    __slots__ = ("bytes_in", "bytes_out", "datagrams_in", "datagrams_out")
+    __slots__ = ("bytes_in", "bytes_out", "datagrams_in", "datagrams_out")  # stored quantity names
 
     def __init__(self) -> None:
         self.datagrams_in = self.datagrams_out = self.bytes_in = self.bytes_out = 0
@@ -59,15 +61,15 @@
 
 
 def usage_between(before: Reading, after: Reading) -> dict[str, float]:
-    """Between two readings of a process: cpu_share of one core, and each counter a second; memory and
-    descriptors as of the second."""
-    passed = max(after.at_s - before.at_s, 1e-9)
+    """The use between two readings of a process: the share of one core, and the rate of each counter per
+    second; memory and descriptors are those of the second reading."""
+    elapsed_s = max(after.at_s - before.at_s, 1e-9)
     rates = {
-        f"{name}_per_s": (count - before.traffic.get(name, 0)) / passed
+        f"{name}_per_s": (count - before.traffic.get(name, 0)) / elapsed_s
         for name, count in after.traffic.items()
     }
     return {
-        "cpu_share": (after.cpu_s - before.cpu_s) / passed,
+        "cpu_share": (after.cpu_s - before.cpu_s) / elapsed_s,
         "rss_bytes": float(after.rss_bytes),
         "descriptors": float(after.descriptors),
         **rates,
@@ -75,10 +77,10 @@
 
 
 class Delays:
-    """A histogram of delays in seconds; None is kept of the single ones."""
+    """A histogram of delays in seconds; single delays are not kept."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, MAX_DELAY_US, 3)
+        self.histogram = HdrHistogram(1, MAX_DELAY_US, SIGNIFICANT_DIGITS)
 
     def add(self, seconds: float, count: int = 1) -> None:
         """Delays under 1 us count as 1 us, over 10 min as 10 min."""
@@ -88,7 +90,7 @@
         return int(self.histogram.get_total_count())
 
     def quantile(self, share: float) -> float:
-        """Seconds that this share of the delays don't exceed; 0 where there are none."""
+        """Seconds that this share of the delays does not exceed; 0 without delays."""
         return float(self.histogram.get_value_at_percentile(share * 100)) / 1e6 if len(self) else 0.0
 
     def encode(self) -> str:
@@ -97,19 +99,19 @@
 
     @classmethod
     def merged(cls, encoded: Iterable[str]) -> Self:
-        """One histogram of all."""
-        whole = cls()
+        """One histogram of several encoded ones."""
+        merged = cls()
         for text in encoded:
-            whole.histogram.decode_and_add(text.encode())
-        return whole
+            merged.histogram.decode_and_add(text.encode())
+        return merged
 
     def sample(
         self, quantity: str, unit: str, sizes: tuple[int, int], kind: Kind, share: float = 0.5, **more: Any
     ) -> Sample:
-        """The delay at a share (0.5: the median; 0.99 for a p99), low at 5 and high at 99 hundredths; `unit`
-        is us, ms or s."""
-        times = {"us": 1e6, "ms": 1e3, "s": 1.0}[unit]
-        low, value, high = (self.quantile(share) * times for share in (0.05, share, 0.99))
+        """The quantile at `share` (0.5: the median; 0.99: the p99), with the 5th percentile as `low` and the
+        99th as `high`; `unit` is us, ms or s."""
+        units_per_s = {"us": 1e6, "ms": 1e3, "s": 1.0}[unit]
+        low, value, high = (self.quantile(each) * units_per_s for each in (0.05, share, 0.99))
         return Sample(
             quantity=quantity,
             unit=unit,
@@ -143,24 +145,24 @@
     gateways_per_process: int = 1,
     **more: Any,
 ) -> list[Sample]:
-    """One sample a quantity over processes of one role, by name. Where a process plays `parts` gateways, all
-    figures are by gateway. Processes that are not in both are left out."""
+    """One sample per quantity over processes of one role, by name; all values are per gateway. Processes that
+    are not in both readings are left out."""
     values: dict[str, list[float]] = {}
     for name in before.keys() & after.keys():
         for quantity, value in usage_between(before[name], after[name]).items():
             values.setdefault(quantity, []).append(value / gateways_per_process)
-    taken = []
+    samples = []
     for quantity, figures in values.items():
         if quantity in QUANTITY_UNITS:
             one = sample(quantity, QUANTITY_UNITS[quantity], sizes, figures, kind)
-            taken.append(structs.replace(one, **more))
-    return taken
+            samples.append(structs.replace(one, **more))
+    return samples
 
 
 class LoopStallMonitor:
-    """How long this process's loop stood at a time: a timer each 5 ms, and what it came too late by.
+    """Measures how long this process's event loop stalls, by how late a timer fires.
 
-    The machine's own waits are in it, too: hold it against `at(0.5)` of a quiet process."""
+    The machine's own scheduling delays are included: compare with the median of an idle process."""
 
     def __init__(self, interval_s: float = 0.005) -> None:
         self.interval_s, self.delays, self.longest_s = interval_s, Delays(), 0.0
@@ -168,14 +170,14 @@
 
     async def _run(self) -> None:
         while True:
-            due = time.monotonic() + self.interval_s
+            due_at_s = time.monotonic() + self.interval_s
             await asyncio.sleep(self.interval_s)
-            late = time.monotonic() - due
-            self.delays.add(max(0.0, late))
-            self.longest_s = max(self.longest_s, late)
+            late_s = time.monotonic() - due_at_s
+            self.delays.add(max(0.0, late_s))
+            self.longest_s = max(self.longest_s, late_s)
 
     def take_stalls(self) -> tuple[float, str]:
-        """The longest standstill in seconds and the histogram since the last call; begins anew."""
-        taken = self.longest_s, self.delays.encode()
+        """The longest stall in seconds and the encoded histogram since the last call; starts afresh."""
+        stalls = self.longest_s, self.delays.encode()
         self.delays, self.longest_s = Delays(), 0.0
-        return taken
+        return stalls
