--- a/whintrail/scale/auditor.py
+++ b/whintrail/scale/auditor.py
@@ -1,8 +1,8 @@
-"""Checks a scale run from outside, by what the run did itself and what each gateway reported of its own
-state.
+"""Checks a scale run from outside.
 
-Of a gateway's view of the others, it uses only which members the gateway considers gone. Pure: no I/O; times
-are microseconds of the machine's monotonic clock.
+It uses what the run did itself and what each gateway reported of its own state. Of a gateway's view of the
+others, it uses only which members the gateway considers gone. Pure: no I/O; times are microseconds of the
+machine's monotonic clock.
 """
 
 from collections import Counter, defaultdict
--- a/whintrail/scale/bulletin.py
+++ b/whintrail/scale/bulletin.py
@@ -3,7 +3,8 @@
 Each event is kept once, as its line of bytes; a follower has only a position in the sequence of lines. Lines
 have one field more than the protocol's, which gateways ignore: `at`, the monotonic second of publishing.
 Lines over a gateway's limit are sent as they are, so that a run can measure the effect. A module for
-`control.serve`."""
+`control.serve`.
+"""
 
 import asyncio
 import random
--- a/whintrail/scale/engines.py
+++ b/whintrail/scale/engines.py
@@ -1,7 +1,8 @@
 """Hollow engines: one process that answers on thousands of addresses of 127.0.0.0/8.
 
 They speak the engines' line protocol, take the time that the statement names (`-- cost=MS`; 5 ms without it)
-on cores that requests share, and have no memory, pages or loads. A module for `control.serve`."""
+on cores that requests share, and have no memory, pages or loads. A module for `control.serve`.
+"""
 
 import asyncio
 import errno
--- a/whintrail/scale/hollow.py
+++ b/whintrail/scale/hollow.py
@@ -1,10 +1,11 @@
-"""A hollow gateway: the program's dispatcher, routing policy, peer transport, bulletin reader and fleet
-service.
-
-It sends real datagrams from an address of its own. Many hollow gateways share one process; they have no
-client sessions and no links to engines. Three things are simulated: engines are a model in the process
-(`ModelEngines`), the engine list is read once for all gateways of a process (`EngineListFanout`), and
-queries come from a timer. Each gateway counts the CPU time, datagrams and bytes that it uses."""
+"""Hollow gateways: the program's own components without client sessions and links to engines.
+
+A hollow gateway is made of the program's dispatcher, routing policy, peer transport, bulletin reader and
+fleet service. It sends real datagrams from an address of its own. Many hollow gateways share one process;
+they have no client sessions and no links to engines. Three things are simulated: engines are a model in the
+process (`ModelEngines`), the engine list is read once for all gateways of a process (`EngineListFanout`),
+and queries come from a timer. Each gateway counts the CPU time, datagrams and bytes that it uses.
+"""
 
 import asyncio
 import time
--- a/whintrail/scale/measure.py
+++ b/whintrail/scale/measure.py
@@ -1,5 +1,4 @@
-"""Measures the resource use of a scale run's processes: readings, traffic, delay histograms, event loop
-stalls.
+"""Measures a scale run's processes: resource use, traffic, delay histograms and event loop stalls.
 
 Delays are HDR histograms (Gil Tene, http://hdrhistogram.org) from 1 us to 10 min at three significant digits,
 so that the histograms of several processes merge without loss.
--- a/whintrail/scale/procs.py
+++ b/whintrail/scale/procs.py
@@ -1,9 +1,9 @@
-"""The processes of a scale run: starts, queries, signals and ends them, with limits on number, memory and
-time.
+"""Starts and ends the processes of a scale run, with limits on their number, memory and time.
 
 Real gateways start with the `run` command of deploy/balancer.toml, hollow processes with a module that calls
 `control.serve`. No process outlives the run: each is killed when the run ends, exceeds a limit or gets
-Ctrl-C, and by the kernel when the run itself was killed (`guard`)."""
+Ctrl-C, and by the kernel when the run itself was killed (`guard`).
+"""
 
 import asyncio
 import os
@@ -210,7 +210,7 @@
         **environment: str,
     ) -> Child:
         """Starts a real gateway by the `run` command, with RELAY_CONFIG, and WHINTRAIL_FILE if `operator` is
-        given. It may not serve yet when this returns (`load.until_serves`)."""
+        given. It may not serve yet when this returns (`LoadClients.wait_until_serving`)."""
         path = self.folder / f"{name}.json"
         path.write_bytes(orjson.dumps(config))
         if operator is not None:
