--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -58,7 +58,7 @@
     return made
 
 
-def value_of(found: RowResult | rates.Reckoned) -> Estimate:
+def value_of(found: RowResult | rates.FactResult) -> Estimate:
     assert found.value is not None, found.missing
     return found.value
 
@@ -218,23 +218,25 @@
     samples = samples_on_line(
         "version_in_force_s", 0.0, 3.0, dimension="gateways", kind="simulated", note="one after another"
     )
-    found = rates.reckon(find_fact("mean_left"), FitCache(samples))
-    assert value_of(found).value == pytest.approx(64_000 - 86_400 / 3.0) and found.passed
+    found = rates.evaluate_fact(find_fact("mean_left"), FitCache(samples))
+    assert value_of(found).value == pytest.approx(64_000 - 86_400 / 3.0) and found.is_exceeded
     assert value_of(found).low <= value_of(found).value <= value_of(found).high
-    burst = value_of(rates.reckon(find_fact("burst_last"), FitCache(samples))).value
+    burst = value_of(rates.evaluate_fact(find_fact("burst_last"), FitCache(samples))).value
     assert burst == pytest.approx(64_000 / 86_400 * 10 * 600 * 3.0 - 600)
     quick = samples_on_line(
         "version_in_force_s", 0.0, 0.1, dimension="gateways", kind="simulated", note="one after another"
     )
-    assert not rates.reckon(find_fact("mean_left"), FitCache(quick)).passed
-    assert value_of(rates.reckon(find_fact("burst_last"), FitCache(quick))).value == pytest.approx(0.1)
+    assert not rates.evaluate_fact(find_fact("mean_left"), FitCache(quick)).is_exceeded
+    assert value_of(rates.evaluate_fact(find_fact("burst_last"), FitCache(quick))).value == pytest.approx(0.1)
 
 
 def test_a_zone_is_a_nineteenth_of_the_fleet_and_more_than_may_be_out() -> None:
-    found = rates.reckon(find_fact("zone_gateways"), FitCache([]))
-    assert value_of(found).value == pytest.approx(4000 / 19) and found.passed
-    assert rates.reckon(find_fact("rack_stand"), FitCache([])).missing == "module_list_delta_us"
-    stand = rates.reckon(find_fact("rack_stand"), FitCache(samples_on_line("module_list_delta_us", 1.5)))
+    found = rates.evaluate_fact(find_fact("zone_gateways"), FitCache([]))
+    assert value_of(found).value == pytest.approx(4000 / 19) and found.is_exceeded
+    assert rates.evaluate_fact(find_fact("rack_stand"), FitCache([])).missing == "module_list_delta_us"
+    stand = rates.evaluate_fact(
+        find_fact("rack_stand"), FitCache(samples_on_line("module_list_delta_us", 1.5))
+    )
     assert value_of(stand).value == pytest.approx(40 * 1.5 * 15_000 / 1e6, rel=0.01)
 
 
@@ -426,7 +428,7 @@
         exponent_error=0.7,
         form="linear",
         sizes=(20, 40, 80),
-        worst=0.1,
+        worst_residual=0.1,
         curve=lambda x: (x, 1.5 * x),
     )
     found = capacity.evaluate_row(find_row("refresh_cpu"), figures)
--- a/tests/test_scale_fitting.py
+++ b/tests/test_scale_fitting.py
@@ -24,12 +24,12 @@
 
 @given(st.floats(0, 1e4), st.floats(1e-3, 1e4))
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_an_exact_line_is_found_again(intercept: float, slope: float) -> None:
+def test_an_exact_line_is_recovered(intercept: float, slope: float) -> None:
     found = fit(samples(lambda x: intercept + slope * x), "cost_us", "engines")
     assert found.slope == pytest.approx(slope, rel=1e-6)
     assert found.intercept == pytest.approx(intercept, rel=1e-6, abs=1e-6 * slope * SIZES[0])
     assert found.form in ("linear", "constant")
-    value, low, high = found.at(4000)
+    value, low, high = found.estimate_at(4000)
     assert low <= value <= high
     assert value == pytest.approx(intercept + slope * 4000, rel=1e-6)
     assert found.sizes == SIZES
@@ -43,10 +43,10 @@
     assert word == "power"
     assert abs(float(named) - exponent) <= 0.005 + 1e-9
     assert found.exponent == pytest.approx(exponent, rel=1e-6)
-    assert found.at(30_000)[0] == pytest.approx(factor * 30_000**exponent, rel=1e-6)
+    assert found.estimate_at(30_000)[0] == pytest.approx(factor * 30_000**exponent, rel=1e-6)
 
 
-def test_what_is_no_line_says_what_it_is() -> None:
+def test_other_forms_than_a_line_are_named() -> None:
     def named(value: Callable[[int], float]) -> str:
         return fit(samples(value), "cost_us", "engines").form
 
@@ -57,21 +57,21 @@
     assert named(lambda x: 1.0 if x % 800 else 50.0).startswith("no line")
 
 
-def test_a_slope_that_may_be_none_is_not_drawn_out() -> None:
+def test_an_insignificant_slope_is_not_extrapolated() -> None:
     """Scatter about one level: far out it is still that level, and the interval is no wider."""
     scatter = dict(zip(SIZES[:5], (100.0, 97.0, 102.0, 99.0, 104.0), strict=True))
     found = fit(samples(lambda x: scatter[x], SIZES[:5]), "cost_us", "engines")
     assert found.form == "constant"
-    value, low, high = found.at(1_000_000)
-    assert value == found.at(20)[0] == pytest.approx(100, abs=2)
+    value, low, high = found.estimate_at(1_000_000)
+    assert value == found.estimate_at(20)[0] == pytest.approx(100, abs=2)
     assert 80 < low < high < 120
 
 
-def test_a_value_of_zero_is_no_surer_than_the_others() -> None:
+def test_a_value_of_zero_gets_no_extra_weight() -> None:
     found = fit(samples(lambda x: max(0.0, 2.0 * x - 40)), "cost_us", "engines")  # 0 at the first size
     assert found.form == "linear"
     assert found.slope == pytest.approx(2.0, rel=1e-6)
-    assert found.worst < 1e-6
+    assert found.worst_residual < 1e-6
 
 
 def test_a_line_below_zero_is_a_line_and_has_no_exponent() -> None:
@@ -80,7 +80,7 @@
     assert math.isnan(found.exponent)
 
 
-def test_noise_is_covered_as_often_as_the_interval_says() -> None:
+def test_intervals_cover_noise_at_their_stated_rate() -> None:
     """Of 400 lines with a noise of 5%, the slope and a further measurement lie within 95% intervals, but for
     the chance of the draw (three standard deviations of a share of 400)."""
     random, slopes, values, runs = Random(5), 0, 0, 400
@@ -90,7 +90,7 @@
         found = fit(samples(lambda x, noisy=noisy: noisy[x]), "cost_us", "engines")  # type: ignore[misc]
         slopes += abs(found.slope - 2) <= 2.571 * found.slope_error  # Student's t, five degrees of freedom
         further = (40 + 2 * 4000) * random.gauss(1, 0.05)
-        _, low, high = found.at(4000)
+        _, low, high = found.estimate_at(4000)
         values += low <= further <= high
     assert abs(slopes / runs - 0.95) <= slack
     assert abs(values / runs - 0.95) <= slack
@@ -98,32 +98,30 @@
 
 @given(st.floats(0, 100), st.floats(0.01, 100), st.floats(1.5, 1000))
 @settings(max_examples=40, deadline=None, derandomize=True)
-def test_the_size_at_a_budget_is_where_the_line_crosses_it(
-    intercept: float, slope: float, times: float
-) -> None:
+def test_size_at_a_budget_is_where_the_line_crosses_it(intercept: float, slope: float, times: float) -> None:
     found = fit(samples(lambda x: intercept + slope * x), "cost_us", "engines")
     budget = (intercept + slope) * times
     size = found.size_at(budget)
     assert size is not None
-    assert found.at(size)[0] == pytest.approx(budget, rel=1e-3)
+    assert found.estimate_at(size)[0] == pytest.approx(budget, rel=1e-3)
     early, late = found.size_range(budget)
     assert early is not None
     assert early <= size + 1e-3 * size
     assert late is None or late >= size - 1e-3 * size
 
 
-def test_a_budget_that_nothing_reaches_and_one_that_everything_does() -> None:
+def test_a_budget_reached_at_no_size_and_one_reached_at_every_size() -> None:
     found = fit(samples(lambda x: 100.0), "cost_us", "engines")
     assert found.size_at(1000) is None
     assert found.size_at(10) == 0.0
 
 
-def test_only_the_samples_that_were_asked_for_count() -> None:
+def test_only_the_requested_samples_are_fitted() -> None:
     line = samples(lambda x: 2.0 * x)
     other = [sample("cost_us", "us", (9, x), [7.0 * x], "core") for x in SIZES[:3]]
     real = [sample("cost_us", "us", (4, x), [9.0 * x], "real") for x in SIZES]
     assert fit([*line, *other, *real], "cost_us", "engines", kind="core").slope == pytest.approx(2)
-    assert fit([*line, *other], "cost_us", "engines").other == 4
+    assert fit([*line, *other], "cost_us", "engines").other_size == 4
     with pytest.raises(FitError, match="no sample"):
         fit(line, "cost_us", "engines", day="zone lost")
     with pytest.raises(FitError, match="one size"):
@@ -132,7 +130,7 @@
         fit([*line, sample("cost_us", "ms", (4, 9), [1.0], "core")], "cost_us", "engines")
 
 
-def test_the_command_prints_a_row_a_quantity_and_refuses_what_is_no_results_file(tmp_path: Path) -> None:
+def test_the_command_prints_a_row_per_quantity_and_rejects_invalid_files(tmp_path: Path) -> None:
     path = tmp_path / "some.json"
     save_results(path, "a command", 0.0, current_machine(), samples(lambda x: 5 + 3 * x), "")
     found = CliRunner().invoke(root, ["scale", "fit", str(path)])
--- a/tests/test_scale_simulate.py
+++ b/tests/test_scale_simulate.py
@@ -15,7 +15,7 @@
     return done.output
 
 
-def test_a_small_fleet_is_played_and_its_figures_are_kept(tmp_path: Path) -> None:
+def test_a_small_fleet_is_simulated_and_its_results_are_saved(tmp_path: Path) -> None:
     run(tmp_path / "a.json", "--part", "quiet", "--part", "changes")
     results = load_results(tmp_path / "a.json")
     found = {(s.quantity, s.role): s.value for s in results.samples}
@@ -26,13 +26,13 @@
     assert found["false_removals", "gateway"] == 0
 
 
-def test_a_bound_of_processor_time_or_memory_ends_it_with_one_line(tmp_path: Path) -> None:
+def test_a_cpu_or_memory_bound_ends_the_run_with_one_line(tmp_path: Path) -> None:
     for name, bound in (("cpu-seconds", "0.001"), ("memory-mb", "1")):
         output = run(tmp_path / "b.json", f"--{name}", bound)
         assert f"12 gateways, seed 1, ended early: --{name} {bound} used" in output
         assert "ended early" in load_results(tmp_path / "b.json").note
 
 
-def test_sizes_without_anybody_outside_the_council_are_refused() -> None:
+def test_sizes_with_no_member_outside_the_council_are_rejected() -> None:
     done = CliRunner().invoke(simulate, ["--gateways", "5"])
     assert done.exit_code == 2
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -15,10 +15,10 @@
 from whintrail.gateway.bulletin import read_entry
 from whintrail.scale.deployment import Deployment
 from whintrail.scale.results import Sample, load_results
-from whintrail.scale.slopes import merged
-from whintrail.scale.slopes_memos import HEADERS, Play
-from whintrail.scale.slopes_module import Alone
-from whintrail.scale.timing import Bench, BoundError, cpu_us, held_bytes
+from whintrail.scale.slopes import merge_rounds
+from whintrail.scale.slopes_probe_reports import DATAGRAM_HEADER_BYTES, ReportExchange
+from whintrail.scale.slopes_routing import PolicyHarness
+from whintrail.scale.timing import Bench, BoundError, measure_cpu_us, measure_held_bytes
 
 UNITS = {
     "us": (
@@ -40,54 +40,54 @@
     "count": "probes_per_s probes_an_engine_per_s",
 }
 MAY_BE_ZERO = {"memo_keys_shared", "leader_held_back_per_s"}
-SMALL = [
+SMALL_RUN = [
     *("--engines", "20,60", "--gateways", "8,16", "--played-engines", "20", "--played-gateways", "5"),
     *("--repeats", "3", "--rounds", "1"),
 ]
 
 
 @pytest.fixture(scope="module")
-def taken(tmp_path_factory: pytest.TempPathFactory) -> list[Sample]:
+def slope_samples(tmp_path_factory: pytest.TempPathFactory) -> list[Sample]:
     path = tmp_path_factory.mktemp("slopes") / "slopes.json"
-    found = CliRunner().invoke(root, ["scale", "slopes", *SMALL, "--seconds", "60", "--to", str(path)])
+    found = CliRunner().invoke(root, ["scale", "slopes", *SMALL_RUN, "--seconds", "60", "--to", str(path)])
     assert found.exit_code == 0, found.output
     return load_results(path).samples
 
 
-def test_a_small_run_gives_every_quantity_with_its_unit_and_a_positive_value(taken: list[Sample]) -> None:
+def test_small_run_has_every_quantity_with_its_unit_and_a_positive_value(slope_samples: list[Sample]) -> None:
     wanted = {name: unit for unit, names in UNITS.items() for name in names.split()}
-    assert {one.quantity: one.unit for one in taken} == wanted
-    for one in taken:
+    assert {one.quantity: one.unit for one in slope_samples} == wanted
+    for one in slope_samples:
         assert one.low <= one.value <= one.high
         assert one.value >= 0 if one.quantity in MAY_BE_ZERO else one.value > 0, one
         assert one.unit != "share" or one.value <= 1, one
         assert one.kind == "core"
 
 
-def test_each_quantity_is_taken_at_both_sizes_and_both_roles(taken: list[Sample]) -> None:
+def test_each_quantity_is_measured_at_both_sizes_and_for_both_roles(slope_samples: list[Sample]) -> None:
     def sizes(quantity: str, role: str = "gateway") -> list[tuple[int, int]]:
-        return [(s.gateways, s.engines) for s in taken if (s.quantity, s.role) == (quantity, role)]
+        return [(s.gateways, s.engines) for s in slope_samples if (s.quantity, s.role) == (quantity, role)]
 
     assert sizes("module_refresh_us") == [(200, 20), (200, 60)]
     assert sizes("membership_tick_us") == sizes("node_tick_us", "leader") == [(8, 0), (16, 0)]
     assert sizes("memo_datagrams_per_s") == [(5, 20)]
 
 
-def test_what_is_counted_is_what_the_real_parts_send(taken: list[Sample]) -> None:
+def test_counts_match_what_the_real_components_send(slope_samples: list[Sample]) -> None:
     """Of counts, what must hold whatever the machine: the line's length, keys, leases, a part of 1/n."""
-    value = {(s.quantity, s.role, s.gateways, s.engines): s.value for s in taken}
+    value = {(s.quantity, s.role, s.gateways, s.engines): s.value for s in slope_samples}
     assert value["list_line_bytes", "gateway", 200, 60] == len(Deployment(200, 60).full_list_line())
     assert value["cold_part", "gateway", 16, 0] == 1 / 16
     assert value["leader_lease_answered", "leader", 16, 0] == 1.0  # few enough for what it may send
     asks = value["lease_asks_per_s", "gateway", 16, 0]
     assert 2.0 <= asks <= 3.0  # a third of a lease of 1.2 s apart, by turns
     memos = value["memo_datagrams_per_s", "gateway", 5, 20]
-    one = probe_reports.HEADER.size + probe_reports.ENTRY.size + HEADERS
+    one = probe_reports.HEADER.size + probe_reports.ENTRY.size + DATAGRAM_HEADER_BYTES
     assert value["memo_bytes_per_s", "gateway", 5, 20] == pytest.approx(memos * one)
 
 
-def test_with_a_part_of_the_engines_kept_the_module_holds_that_part_and_samples_say_so(
-    taken: list[Sample], tmp_path: Path
+def test_with_a_subset_the_policy_holds_fewer_engines_and_samples_name_the_subset(
+    slope_samples: list[Sample], tmp_path: Path
 ) -> None:
     path = tmp_path / "part.json"
     given = ["--subset", "8", "--fleet", "40", "--engines", "60,120", "--repeats", "3", "--rounds", "1"]
@@ -96,34 +96,34 @@
     assert found.exit_code == 0, found.output
     part = load_results(path).samples
     assert {one.subset for one in part} == {8}
-    assert {one.quantity for one in part} <= {one.quantity for one in taken}
-    (whole,) = (s.value for s in taken if s.quantity == "module_bytes" and s.engines == 60)
+    assert {one.quantity for one in part} <= {one.quantity for one in slope_samples}
+    (whole,) = (s.value for s in slope_samples if s.quantity == "module_bytes" and s.engines == 60)
     assert all(s.value < whole for s in part if s.quantity == "module_bytes")
     few = CliRunner().invoke(root, ["scale", "slopes", *given, "--played-engines", "20", "--to", str(path)])
     assert few.exit_code == 2
 
 
 @pytest.mark.parametrize(("bound", "word"), [(("--seconds", "0"), "time"), (("--memory-mb", "1"), "memory")])
-def test_a_bound_ends_it_by_itself_with_one_line_and_what_was_taken_is_kept(
+def test_a_bound_ends_the_run_with_one_line_and_keeps_the_samples(
     tmp_path: Path, bound: tuple[str, str], word: str
 ) -> None:
     path = tmp_path / "slopes.json"
-    found = CliRunner().invoke(root, ["scale", "slopes", *SMALL, *bound, "--to", str(path)])
+    found = CliRunner().invoke(root, ["scale", "slopes", *SMALL_RUN, *bound, "--to", str(path)])
     assert found.exit_code == 1
     assert word in found.output.splitlines()[-1]
     assert "was not run" in load_results(path).note
 
 
-def test_a_filter_on_the_list_stands_in_front_of_the_module() -> None:
+def test_list_filter_is_applied_before_the_policy() -> None:
     def half(event: api.EngineListReceived) -> api.EngineListReceived:
         kept = tuple(entry for entry in event.entries if int(entry.engine[-1]) % 2 == 0)
         return replace(event, entries=kept)
 
-    assert len(Alone(Deployment(20, 40)).module.ready) == 40
-    assert len(Alone(Deployment(20, 40), half).module.ready) == 20
+    assert len(PolicyHarness(Deployment(20, 40)).policy.ready) == 40
+    assert len(PolicyHarness(Deployment(20, 40), half).policy.ready) == 20
 
 
-def test_the_lists_of_a_deployment_are_what_a_gateway_reads() -> None:
+def test_lists_of_a_deployment_are_readable_by_a_gateway() -> None:
     deployment = Deployment(4, 300)
     entries = deployment.engine_list().entries
     assert len({entry.engine for entry in entries}) == 300
@@ -135,30 +135,30 @@
     }
 
 
-def test_the_same_seed_plays_the_same_and_all_hear_what_one_tells() -> None:
+def test_the_same_seed_repeats_and_all_gateways_receive_each_report() -> None:
     def played(seed: int) -> list[tuple[int, int, int]]:
-        play = Play(Deployment(5, 10), 10.0, seed)
-        play.begin()
+        play = ReportExchange(Deployment(5, 10), 10.0, seed)
+        play.start()
         play.run(2_000_000, Bench(time.monotonic() + 60, 4096))
-        return [(c.datagrams, c.told, c.probes) for c in play.counts]
+        return [(c.received_datagrams, c.sent_datagrams, c.probes) for c in play.traffic]
 
     assert played(3) == played(3) != played(4)
     heard, told = (sum(each[place] for each in played(3)) for place in (0, 1))
     assert 0 < heard <= told <= heard + 4 * 10  # what is on its way at the end has not been heard
 
 
-def test_rounds_are_merged_into_one_sample_a_size() -> None:
+def test_rounds_are_merged_into_one_sample_per_size() -> None:
     def one(value: float) -> Sample:
         return Sample(
             quantity="a_us", unit="us", gateways=1, engines=2, value=value, low=value - 1, high=value + 1,
             n=3, kind="core",
         )  # fmt: skip
 
-    found = merged([one(5), one(9), one(6)])
+    found = merge_rounds([one(5), one(9), one(6)])
     assert [(s.value, s.low, s.high, s.n) for s in found] == [(6, 4, 10, 9)]
 
 
-def test_a_figure_is_the_mean_over_its_turns_and_bounds_are_looked_at() -> None:
+def test_a_figure_is_the_mean_over_its_iterations_and_bounds_are_checked() -> None:
     bench, turns = Bench(time.monotonic() + 60, 4096), [0]
 
     def work() -> None:
@@ -169,13 +169,13 @@
     def prepare() -> None:
         before[0] += 1
 
-    assert len(cpu_us(work, 4, bench, prepare, alone=True)) == 4
+    assert len(measure_cpu_us(work, 4, bench, prepare, alone=True)) == 4
     assert turns[0] == 4
     assert before[0] == 5  # once ahead of all
-    assert len(bench.slow) == 8
-    assert min(bench.slow) >= 1.0
+    assert len(bench.slowdowns) == 8
+    assert min(bench.slowdowns) >= 1.0
     with pytest.raises(BoundError, match="time"):
-        cpu_us(work, 1, Bench(time.monotonic() - 1, 4096))
-    held, made = held_bytes(lambda: bytearray(100_000))
+        measure_cpu_us(work, 1, Bench(time.monotonic() - 1, 4096))
+    held, made = measure_held_bytes(lambda: bytearray(100_000))
     assert 100_000 <= held < 110_000
     assert len(made) == 100_000
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -12,38 +12,38 @@
 GATEWAYS, ENGINES, KEEP = 60, 240, 16
 
 
-@pytest.mark.parametrize("name", ways.WAYS)
-def test_a_way_gives_each_gateway_its_engines_once(name: str) -> None:
-    words = ways.mix(np.arange(ENGINES, dtype=np.uint64), 99)
-    pairs = ways.WAYS[name](GATEWAYS, words, KEEP)
+@pytest.mark.parametrize("name", ways.METHODS)
+def test_each_method_assigns_an_engine_to_a_gateway_at_most_once(name: str) -> None:
+    words = ways.hash_words(np.arange(ENGINES, dtype=np.uint64), 99)
+    pairs = ways.METHODS[name](GATEWAYS, words, KEEP)
     assert len({(int(g), int(e)) for g, e in zip(pairs.gateway, pairs.engine, strict=True)}) == len(
         pairs.engine
     )
     sizes = np.bincount(pairs.gateway, minlength=GATEWAYS)
     assert abs(float(sizes.mean()) - KEEP) <= 2 and sizes.min() > 0
     ids = np.arange(ENGINES)
-    assert not ways.gained(pairs, ids, pairs, ids, GATEWAYS).any()
-    assert abs(float(ways.loads(pairs, np.ones(GATEWAYS), ENGINES, aware=True).mean()) - 1) < 1e-9
+    assert not ways.count_gained_engines(pairs, ids, pairs, ids, GATEWAYS).any()
+    assert abs(float(ways.engine_loads(pairs, np.ones(GATEWAYS), ENGINES, load_aware=True).mean()) - 1) < 1e-9
 
 
-def test_partners_and_bytes_of_groups_are_those_of_a_sum_by_hand() -> None:
+def test_partners_and_bytes_of_groups_match_a_manual_calculation() -> None:
     """15 groups of 4 gateways and 16 engines: 3 partners; of 16 engines' probes a gateway hears 3 in 4."""
-    words = ways.mix(np.arange(ENGINES, dtype=np.uint64), 99)
-    partners, sent = ways.talk(ways.cells(GATEWAYS, words, KEEP), GATEWAYS, ENGINES)
+    words = ways.hash_words(np.arange(ENGINES, dtype=np.uint64), 99)
+    partners, sent = ways.report_traffic(ways.disjoint_groups(GATEWAYS, words, KEEP), GATEWAYS, ENGINES)
     assert set(partners) == {3}
-    rate = KEEP / ways.PACE_S / 4
+    rate = KEEP / ways.PROBE_INTERVAL_S / 4
     datagrams = 3 * (1 - np.exp(-rate * 0.5)) / 0.5
     assert sent[""] == pytest.approx((datagrams, datagrams * 31 + 3 * rate * 7))
 
 
-def test_the_file_stays_small() -> None:
-    samples = [one for size in ((60, 240), (70, 240)) for one in ways.judge("cells", *size, KEEP)]
-    kept = ways.brief(samples)
-    assert {one.quantity for one in kept if one.gateways == 60} == set(ways.SHORT)
-    assert {one.quantity for one in kept if one.gateways == 70} > set(ways.SHORT)
+def test_the_results_file_stays_small() -> None:
+    samples = [one for size in ((60, 240), (70, 240)) for one in ways.evaluate_method("cells", *size, KEEP)]
+    kept = ways.select_for_file(samples)
+    assert {one.quantity for one in kept if one.gateways == 60} == set(ways.SMALL_SIZE_QUANTITIES)
+    assert {one.quantity for one in kept if one.gateways == 70} > set(ways.SMALL_SIZE_QUANTITIES)
 
 
-def test_the_page_quotes_the_file() -> None:
+def test_the_page_matches_the_results_file() -> None:
     found: dict[str, dict[str, Sample]] = {}
     for one in load_results(ROOT / "docs/capacity/ways.json").samples:
         if one.gateways == 4000 and one.kind == "simulated":
@@ -52,7 +52,7 @@
     rows = {
         row.split(" | ")[0].strip("|* "): row.strip("| ").split(" | ") for row in page if row.startswith("| ")
     }
-    assert set(found) == set(ways.WAYS) and set(found) <= set(rows)
+    assert set(found) == set(ways.METHODS) and set(found) <= set(rows)
     for name, by in found.items():
 
         def quote(form: str, *quantities: str, by: dict[str, Sample] = by) -> str:
--- a/whintrail/scale/capacity.py
+++ b/whintrail/scale/capacity.py
@@ -151,7 +151,7 @@
             self.used_keys.append(use)
         x = self.engines if grows_with == "engines" else self.gateways
         found = self.fit_cache.fit(use)
-        value, low, high = found.at(x)
+        value, low, high = found.estimate_at(x)
         if value < 0 and x > max(found.sizes):  # nothing is: the curve has left what it was taken of
             return Estimate(0.0, 0.0, math.inf)
         return Estimate(max(0.0, value), max(0.0, low), max(0.0, high))
--- a/whintrail/scale/fits.py
+++ b/whintrail/scale/fits.py
@@ -6,22 +6,22 @@
 import click
 
 from whintrail.cli.output import format_option, print_rows
-from whintrail.scale.fitting import FitError, Grows, fit
+from whintrail.scale.fitting import FitError, SizeDimension, fit
 from whintrail.scale.results import ResultsError, Sample, load_results
 
 COLUMNS = (
     "quantity", "kind", "role", "day", "subset", "grows_with", "form", "intercept", "slope", "slope_error",
     "unit", "exponent", "exponent_error", "worst", "sizes",
 )  # fmt: skip
-GROWS: tuple[Grows, ...] = ("engines", "gateways")
+DIMENSIONS: tuple[SizeDimension, ...] = ("engines", "gateways")
 
 
-def rows(samples: list[Sample]) -> list[dict[str, object]]:
+def fit_rows(samples: list[Sample]) -> list[dict[str, object]]:
     """A row for each quantity, kind, role, day, subset and note, and each size with which it was varied."""
     found: list[dict[str, object]] = []
     keys = dict.fromkeys((s.quantity, s.kind, s.role, s.day, s.subset, s.note) for s in samples)
     for quantity, kind, role, day, subset, note in keys:
-        for grows_with in GROWS:
+        for grows_with in DIMENSIONS:
             try:
                 fitted = fit(
                     samples, quantity, grows_with, kind=kind, role=role, subset=subset, day=day, note=note
@@ -31,7 +31,7 @@
             row: dict[str, object] = {"quantity": quantity, "kind": kind, "role": role, "day": day}
             row |= {"subset": subset, "note": note, "grows_with": grows_with, "form": fitted.form}
             row |= {"intercept": fitted.intercept, "slope": fitted.slope, "slope_error": fitted.slope_error}
-            row |= {"unit": fitted.unit, "worst": fitted.worst}
+            row |= {"unit": fitted.unit, "worst": fitted.worst_residual}
             row |= {"sizes": " ".join(str(size) for size in fitted.sizes)}
             row |= {"exponent": None, "exponent_error": None}
             if not math.isnan(fitted.exponent):
@@ -58,4 +58,4 @@
             samples += load_results(path).samples
         except ResultsError as error:
             raise click.ClickException(str(error)) from error
-    print_rows(rows([s for s in samples if quantity in s.quantity]), COLUMNS, form)
+    print_rows(fit_rows([s for s in samples if quantity in s.quantity]), COLUMNS, form)
--- a/whintrail/scale/fitting.py
+++ b/whintrail/scale/fitting.py
@@ -17,23 +17,23 @@
 
 from whintrail.scale.results import Kind, Sample
 
-FLOOR = 0.02  # of the value: a size's median is never trusted better
-WITHIN = 0.15  # of the value: what lies further off the curve at some size is no such curve
-LOOSELY = 0.3  # the same for a line of which nothing says that it is another curve
-BENT = 0.1  # an exponent as near to 0 or 1 names no power
-MATTERS = 0.1  # of the line's rise: a quadratic term below it is not spoken of
-FLAT = 0.05  # of the value: a rise below it over all sizes is none
-JUMP = 0.9  # of the whole rise, between two neighbouring sizes: a step
-NORMAL_90 = 1.645  # the 5th and the 95th hundredth lie so many standard deviations off
-MOST_SIZE = 1e9
+MIN_RELATIVE_ERROR = 0.02  # of the value: a size's median is never trusted better
+MAX_RELATIVE_RESIDUAL = 0.15  # of the value: what lies further off the curve at some size is no such curve
+MAX_LOOSE_RESIDUAL = 0.3  # the same for a line of which nothing says that it is another curve
+MIN_EXPONENT_OFFSET = 0.1  # an exponent as near to 0 or 1 names no power
+MIN_QUADRATIC_SHARE = 0.1  # of the line's rise: a quadratic term below it is not spoken of
+MAX_CONSTANT_RISE = 0.05  # of the value: a rise below it over all sizes is none
+MIN_STEP_SHARE = 0.9  # of the whole rise, between two neighbouring sizes: a step
+NORMAL_95TH_PERCENTILE = 1.645  # the 5th and the 95th hundredth lie so many standard deviations off
+MAX_SIZE = 1e9
 # Student's t, 97.5th hundredth, by degrees of freedom from 1 on (e.g. NIST/SEMATECH e-Handbook, 1.3.6.7.2).
-STUDENT = (
+STUDENT_T_975 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
     2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
 )  # fmt: skip
-Grows = Literal["engines", "gateways"]
+SizeDimension = Literal["engines", "gateways"]
 Curve = Callable[[float], tuple[float, float]]  # size: value, half the interval
-Floats = NDArray[np.float64]
+FloatArray = NDArray[np.float64]
 
 
 class FitError(ValueError):
@@ -46,7 +46,7 @@
 
     quantity: str
     unit: str
-    grows_with: Grows
+    grows_with: SizeDimension
     intercept: float
     slope: float  # unit a size, of the line whatever the form
     slope_error: float  # one standard error
@@ -56,26 +56,28 @@
         str  # linear, constant, "power P +- E", quadratic, "step between A and B", "no line: ...", and so on
     )
     sizes: tuple[int, ...]
-    worst: float  # the greatest residual of the line, against the value measured there
-    other: int = 0  # the other size at which it was taken
+    worst_residual: float  # the greatest residual of the line, against the value measured there
+    other_size: int = 0  # the other size at which it was taken
     curve: Curve = field(repr=False, compare=False, default=lambda x: (math.nan, math.nan))
 
-    def at(self, x: float) -> tuple[float, float, float]:
+    def estimate_at(self, x: float) -> tuple[float, float, float]:
         """The value at a size, and the least and greatest that a measurement there would give, at 95%."""
         value, half = self.curve(x)
         return value, value - half, value + half
 
     def size_at(self, budget: float) -> float | None:
         """The smallest size at which the value reaches the budget; 0: at every size; None: at none."""
-        return self._reaches(budget, 0)
+        return self._find_size(budget, 0)
 
     def size_range(self, budget: float) -> tuple[float | None, float | None]:
         """The same by the upper and by the lower end of the interval: earliest and latest."""
-        return self._reaches(budget, 2), self._reaches(budget, 1)
+        return self._find_size(budget, 2), self._find_size(budget, 1)
 
-    def _reaches(self, budget: float, which: int) -> float | None:
-        grid = np.geomspace(1.0, MOST_SIZE, 400)
-        above = next((place for place, x in enumerate(grid) if self.at(float(x))[which] >= budget), None)
+    def _find_size(self, budget: float, bound_index: int) -> float | None:
+        grid = np.geomspace(1.0, MAX_SIZE, 400)
+        above = next(
+            (place for place, x in enumerate(grid) if self.estimate_at(float(x))[bound_index] >= budget), None
+        )
         if above is None:
             return None
         if above == 0:
@@ -83,31 +85,35 @@
         low, high = float(grid[above - 1]), float(grid[above])
         for _ in range(60):
             middle = (low + high) / 2
-            low, high = (low, middle) if self.at(middle)[which] >= budget else (middle, high)
+            low, high = (low, middle) if self.estimate_at(middle)[bound_index] >= budget else (middle, high)
         return high
 
 
-def student(freedom: int) -> float:
+def student_t(degrees_of_freedom: int) -> float:
     """Half the width of a 95% interval, in standard errors; with no freedom left, as if they were known."""
-    if freedom < 1:
+    if degrees_of_freedom < 1:
         return 1.96
-    return STUDENT[freedom - 1] if freedom <= len(STUDENT) else 1.96 + 2.4 / freedom
+    return (
+        STUDENT_T_975[degrees_of_freedom - 1]
+        if degrees_of_freedom <= len(STUDENT_T_975)
+        else 1.96 + 2.4 / degrees_of_freedom
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Squares:
+class LeastSquares:
     """Weighted least squares over columns of a design matrix."""
 
-    found: Floats
-    covariance: Floats
-    scale: float  # of the errors that were given, as the residuals show it
-    freedom: int
+    coefficients: FloatArray
+    covariance: FloatArray
+    error_scale: float  # of the errors that were given, as the residuals show it
+    degrees_of_freedom: int
 
-    def error(self, place: int) -> float:
-        return float(math.sqrt(max(0.0, self.covariance[place, place])))
+    def standard_error(self, index: int) -> float:
+        return float(math.sqrt(max(0.0, self.covariance[index, index])))
 
 
-def least_squares(design: Floats, values: Floats, errors: Floats) -> Squares:
+def solve_least_squares(design: FloatArray, values: FloatArray, errors: FloatArray) -> LeastSquares:
     weighted, aims = design / errors[:, None], values / errors
     norms = np.linalg.norm(weighted, axis=0)  # columns of 1 and of 15,000 squared: scaled alike first
     inverse = np.linalg.pinv(weighted / norms)
@@ -116,13 +122,13 @@
     left = aims - weighted @ found
     scale = math.sqrt(float(left @ left) / freedom) if freedom > 0 else 1.0
     covariance = (inverse @ inverse.T) / np.outer(norms, norms) * scale**2
-    return Squares(found, covariance, scale, freedom)
+    return LeastSquares(found, covariance, scale, freedom)
 
 
-def selected(
+def select_samples(
     samples: Sequence[Sample],
     quantity: str,
-    grows_with: Grows,
+    grows_with: SizeDimension,
     *,
     kind: Kind | None = None,
     role: str | None = None,
@@ -156,7 +162,7 @@
 def fit(
     samples: Sequence[Sample],
     quantity: str,
-    grows_with: Grows,
+    grows_with: SizeDimension,
     *,
     kind: Kind | None = None,
     role: str | None = None,
@@ -165,126 +171,144 @@
     note: str | None = None,
 ) -> Fit:
     """Errors: FitError where there are no two sizes."""
-    kept = selected(samples, quantity, grows_with, kind=kind, role=role, subset=subset, day=day, note=note)
+    kept = select_samples(
+        samples, quantity, grows_with, kind=kind, role=role, subset=subset, day=day, note=note
+    )
     sizes = np.array([getattr(s, grows_with) for s in kept], dtype=np.float64)
     values = np.array([s.value for s in kept], dtype=np.float64)
-    spread = np.array([(s.high - s.low) / (2 * NORMAL_90) for s in kept], dtype=np.float64)
+    spread = np.array([(s.high - s.low) / (2 * NORMAL_95TH_PERCENTILE) for s in kept], dtype=np.float64)
     counts = np.array([max(1, s.n) for s in kept], dtype=np.float64)
     greatest = float(np.abs(values).max())
     tiny = max(greatest * 1e-9, 1e-12)
     # A median's standard error is 1.25 of a mean's. A value of 0 is not known beyond all others.
     against = np.maximum(np.abs(values), max(greatest * 1e-3, tiny))
-    floor = FLOOR * against
+    floor = MIN_RELATIVE_ERROR * against
     errors = np.maximum(np.hypot(1.25 * spread / np.sqrt(counts), floor), tiny)
-    allowed = np.maximum(WITHIN, spread / against)
+    allowed = np.maximum(MAX_RELATIVE_RESIDUAL, spread / against)
 
     ones = np.ones_like(sizes)
-    line = least_squares(np.stack([ones, sizes], axis=1), values, errors)
-    relative = np.abs(values - line.found[0] - line.found[1] * sizes) / against
+    line = solve_least_squares(np.stack([ones, sizes], axis=1), values, errors)
+    relative = np.abs(values - line.coefficients[0] - line.coefficients[1] * sizes) / against
     noise = float(np.median(errors / against))
     power = None
     exponent = exponent_error = math.nan
     if (values > 0).all() and (sizes > 0).all():
-        power = least_squares(np.stack([ones, np.log(sizes)], axis=1), np.log(values), errors / values)
-        exponent, exponent_error = float(power.found[1]), power.error(1)
+        power = solve_least_squares(np.stack([ones, np.log(sizes)], axis=1), np.log(values), errors / values)
+        exponent, exponent_error = float(power.coefficients[1]), power.standard_error(1)
 
-    form, curve = _form(sizes, values, errors, allowed, noise, line, relative, power)
+    form, curve = _classify(sizes, values, errors, allowed, noise, line, relative, power)
     return Fit(
         quantity=quantity,
         unit=kept[0].unit,
         grows_with=grows_with,
-        intercept=float(line.found[0]),
-        slope=float(line.found[1]),
-        slope_error=line.error(1),
+        intercept=float(line.coefficients[0]),
+        slope=float(line.coefficients[1]),
+        slope_error=line.standard_error(1),
         exponent=exponent,
         exponent_error=exponent_error,
         form=form,
         sizes=tuple(int(size) for size in np.unique(sizes)),
-        worst=float(relative.max()),
-        other=kept[0].gateways if grows_with == "engines" else kept[0].engines,
+        worst_residual=float(relative.max()),
+        other_size=kept[0].gateways if grows_with == "engines" else kept[0].engines,
         curve=curve,
     )
 
 
-def _form(
-    sizes: Floats,
-    values: Floats,
-    errors: Floats,
-    allowed: Floats,
+def _classify(
+    sizes: FloatArray,
+    values: FloatArray,
+    errors: FloatArray,
+    allowed: FloatArray,
     noise: float,
-    line: Squares,
-    relative: Floats,
-    power: Squares | None,
+    line: LeastSquares,
+    relative: FloatArray,
+    power: LeastSquares | None,
 ) -> tuple[str, Curve]:
     """What it is, and the curve that follows from it. The plainest that holds: a constant, a line, a power, a
     line with a square, a step."""
-    straight = _polynomial(line, noise)
-    rise = abs(float(line.found[1])) * float(sizes.max() - sizes.min())
+    straight = _polynomial_curve(line, noise)
+    rise = abs(float(line.coefficients[1])) * float(sizes.max() - sizes.min())
     distinct = len(np.unique(sizes))
     mean = float(np.abs(values).mean())
-    rises = abs(float(line.found[1])) > student(line.freedom) * line.error(1)
-    if bool((relative <= allowed).all()) and rise <= FLAT * mean and rises:
+    rises = abs(float(line.coefficients[1])) > student_t(line.degrees_of_freedom) * line.standard_error(1)
+    if bool((relative <= allowed).all()) and rise <= MAX_CONSTANT_RISE * mean and rises:
         return "constant", straight  # but for a little that is sure
-    flat = least_squares(np.ones((len(sizes), 1)), values, errors)
-    level = float(flat.found[0])
-    if not rises and rise <= LOOSELY * mean and bool((np.abs(values - level) <= allowed * abs(level)).all()):
-        return "constant", _polynomial(flat, noise)  # further out a slope that may be none would say much
+    flat = solve_least_squares(np.ones((len(sizes), 1)), values, errors)
+    level = float(flat.coefficients[0])
+    if (
+        not rises
+        and rise <= MAX_LOOSE_RESIDUAL * mean
+        and bool((np.abs(values - level) <= allowed * abs(level)).all())
+    ):
+        return "constant", _polynomial_curve(
+            flat, noise
+        )  # further out a slope that may be none would say much
     bent = None
     if distinct >= 4:
-        bent = least_squares(np.stack([np.ones_like(sizes), sizes, sizes**2], axis=1), values, errors)
-        square = float(bent.found[2]) * float(sizes.max()) ** 2
-        sure = abs(float(bent.found[2])) > student(bent.freedom) * bent.error(2)
-        if not sure or abs(square) <= MATTERS * rise:
+        bent = solve_least_squares(np.stack([np.ones_like(sizes), sizes, sizes**2], axis=1), values, errors)
+        square = float(bent.coefficients[2]) * float(sizes.max()) ** 2
+        sure = abs(float(bent.coefficients[2])) > student_t(bent.degrees_of_freedom) * bent.standard_error(2)
+        if not sure or abs(square) <= MIN_QUADRATIC_SHARE * rise:
             bent = None
     if bool((relative <= allowed).all()) and bent is None:
         return "linear" if distinct > 2 else "linear, of two sizes", straight
-    away = min(abs(float(power.found[1])), abs(float(power.found[1]) - 1)) if power is not None else 0.0
-    if power is not None and away > max(BENT, 2 * power.error(1)):
-        curve = _power(power, noise)
+    away = (
+        min(abs(float(power.coefficients[1])), abs(float(power.coefficients[1]) - 1))
+        if power is not None
+        else 0.0
+    )
+    if power is not None and away > max(MIN_EXPONENT_OFFSET, 2 * power.standard_error(1)):
+        curve = _power_curve(power, noise)
         off = np.array([abs(curve(float(x))[0] / y - 1) for x, y in zip(sizes, values, strict=True)])
         if bool((off <= allowed).all()):
-            return f"power {power.found[1]:.2f} +- {power.error(1):.2f}", curve
+            return f"power {power.coefficients[1]:.2f} +- {power.standard_error(1):.2f}", curve
     if bent is not None:
-        curve = _polynomial(bent, noise)
+        curve = _polynomial_curve(bent, noise)
         off = np.array([abs(curve(float(x))[0] - y) for x, y in zip(sizes, values, strict=True)])
         if bool((off <= allowed * np.abs(values)).all()):
             return "quadratic", curve
     levels = np.array([float(np.median(values[sizes == x])) for x in np.unique(sizes)])
     jumps = np.abs(np.diff(levels))
     largest = int(jumps.argmax())
-    if distinct >= 4 and jumps[largest] >= JUMP * float(jumps.sum()):
+    if distinct >= 4 and jumps[largest] >= MIN_STEP_SHARE * float(jumps.sum()):
         low, high = (int(x) for x in np.unique(sizes)[largest : largest + 2])
-        return f"step between {low} and {high}", _between(np.unique(sizes), levels, float(relative.max()))
+        return f"step between {low} and {high}", _interpolated_curve(
+            np.unique(sizes), levels, float(relative.max())
+        )
     bound = float(relative.max())
-    if bound <= LOOSELY:
-        if rises or rise > LOOSELY * mean:
+    if bound <= MAX_LOOSE_RESIDUAL:
+        if rises or rise > MAX_LOOSE_RESIDUAL * mean:
             return f"linear, within {bound:.0%}", straight
-        return f"constant, within {bound:.0%}", _polynomial(flat, noise)
-    return f"no line: off by up to {bound:.0%}", _between(np.unique(sizes), levels, bound)
+        return f"constant, within {bound:.0%}", _polynomial_curve(flat, noise)
+    return f"no line: off by up to {bound:.0%}", _interpolated_curve(np.unique(sizes), levels, bound)
 
 
-def _polynomial(squares: Squares, noise: float) -> Curve:
+def _polynomial_curve(squares: LeastSquares, noise: float) -> Curve:
     def curve(x: float) -> tuple[float, float]:
-        row = np.array([x**power for power in range(len(squares.found))], dtype=np.float64)
-        value = float(row @ squares.found)
-        own = noise * squares.scale * abs(value)  # what a measurement there would scatter by itself
-        half = student(squares.freedom) * math.sqrt(max(0.0, float(row @ squares.covariance @ row)) + own**2)
+        row = np.array([x**power for power in range(len(squares.coefficients))], dtype=np.float64)
+        value = float(row @ squares.coefficients)
+        own = noise * squares.error_scale * abs(value)  # what a measurement there would scatter by itself
+        half = student_t(squares.degrees_of_freedom) * math.sqrt(
+            max(0.0, float(row @ squares.covariance @ row)) + own**2
+        )
         return value, half
 
     return curve
 
 
-def _power(squares: Squares, noise: float) -> Curve:
+def _power_curve(squares: LeastSquares, noise: float) -> Curve:
     def curve(x: float) -> tuple[float, float]:
         row = np.array([1.0, math.log(max(x, 1e-9))])
-        value = math.exp(min(700.0, float(row @ squares.found)))
-        spread = math.sqrt(max(0.0, float(row @ squares.covariance @ row)) + (noise * squares.scale) ** 2)
-        return value, value * math.expm1(min(700.0, student(squares.freedom) * spread))
+        value = math.exp(min(700.0, float(row @ squares.coefficients)))
+        spread = math.sqrt(
+            max(0.0, float(row @ squares.covariance @ row)) + (noise * squares.error_scale) ** 2
+        )
+        return value, value * math.expm1(min(700.0, student_t(squares.degrees_of_freedom) * spread))
 
     return curve
 
 
-def _between(sizes: Floats, levels: Floats, bound: float) -> Curve:
+def _interpolated_curve(sizes: FloatArray, levels: FloatArray, bound: float) -> Curve:
     """Straight from size to size, and on from the last two; as uncertain as the line was wrong."""
 
     def curve(x: float) -> tuple[float, float]:
--- a/whintrail/scale/page.py
+++ b/whintrail/scale/page.py
@@ -14,7 +14,7 @@
 from whintrail.cli.output import format_option, print_rows
 from whintrail.scale import capacity, rates, rows, tables
 from whintrail.scale.capacity import FitCache, MeasurementKey, RowResult
-from whintrail.scale.fitting import Fit, Grows, selected
+from whintrail.scale.fitting import Fit, SizeDimension, select_samples
 from whintrail.scale.results import (
     Results,
     ResultsError,
@@ -137,7 +137,9 @@
         ):
             found.append((row.key, row.unit, value))
     for fact in rates.FACTS:
-        if (value := rates.reckon(fact, fit_cache, size).value) is not None and math.isfinite(value.high):
+        if (value := rates.evaluate_fact(fact, fit_cache, size).value) is not None and math.isfinite(
+            value.high
+        ):
             found.append((fact.key, fact.unit, value))
     return found
 
@@ -145,7 +147,7 @@
 # --- Predictions.
 
 
-def find_dimension(quantity: str, samples: Sequence[Sample]) -> Grows:
+def find_dimension(quantity: str, samples: Sequence[Sample]) -> SizeDimension:
     """Over which size it was taken. Errors: click.ClickException."""
     for row in rows.ROWS:
         for use in capacity.evaluate_row(row, FitCache(samples)).used_keys:
@@ -154,7 +156,7 @@
     raise click.ClickException(f"no row of the page uses {quantity}")
 
 
-def predict(samples: Sequence[Sample], wanted: Sample, dimension: Grows, now_s: float) -> Prediction:
+def predict(samples: Sequence[Sample], wanted: Sample, dimension: SizeDimension, now_s: float) -> Prediction:
     """The figure at a size that no file has yet; `like` names it. Errors: ValueError."""
     known = [
         s
@@ -169,7 +171,7 @@
         found = FitCache(known, subset=wanted.subset).fit(use)
     except capacity.NotMeasured as error:
         raise ValueError(f"{wanted.quantity}: no two sizes to foretell it from") from error
-    value, low, high = found.at(x)
+    value, low, high = found.estimate_at(x)
     return Prediction(
         quantity=wanted.quantity,
         unit=found.unit,
@@ -217,14 +219,14 @@
 
 def _write_plot(pyplot: object, samples: Sequence[Sample], key: MeasurementKey, fit: Fit, path: Path) -> None:
     given = {"kind": key.kind, "role": key.role, "note": key.note, "day": key.day}
-    here = selected(samples, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
+    here = select_samples(samples, key.quantity, key.grows_with, **given)  # type: ignore[arg-type]
     xs = [getattr(s, key.grows_with) for s in here]
     drawn, axes = pyplot.subplots(figsize=(6, 4))  # type: ignore[attr-defined]
     ys = [s.high if key.stat == "high" else s.value for s in here]
     axes.plot(xs, ys, "o", color="C0", label="measured")
     most = capacity.target_size()[1 if key.grows_with == "engines" else 0]
     line = [max(1.0, min(xs)) * (most / max(1.0, min(xs))) ** (place / 60) for place in range(61)]
-    values = [fit.at(x) for x in line]
+    values = [fit.estimate_at(x) for x in line]
     floor = max(1e-12, min(ys)) / 10  # a range that reaches below 0 has no place on a logarithmic axis
     axes.plot(line, [v[0] for v in values], color="C1", label=fit.form)
     axes.fill_between(line, [max(floor, v[1]) for v in values], [v[2] for v in values], color="C1", alpha=0.2)
--- a/whintrail/scale/rates.py
+++ b/whintrail/scale/rates.py
@@ -28,88 +28,90 @@
     REBROADCASTS_PER_ENTRY,
 )
 
-DUE = 1 / CHANGES_PER_S  # seconds from one change to the next, in the mean
-DAY = 86_400.0
+CHANGE_INTERVAL_S = 1 / CHANGES_PER_S  # seconds from one change to the next, in the mean
+DAY_S = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
     key: str
     event: str
-    what: str
+    description: str
     unit: str
-    value: Callable[[EvaluationPoint], Estimate]
+    evaluate: Callable[[EvaluationPoint], Estimate]
     budget: float | None = None
     budget_name: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Reckoned:
+class FactResult:
     fact: Fact
     value: Estimate | None
     missing: str
-    used: tuple[MeasurementKey, ...] = ()
-    taken: tuple[Estimate, tuple[float, float]] | None = None  # at the greatest size of what it rests on
-    beyond: bool = False  # the sizes at which what it rests on was taken
+    used_keys: tuple[MeasurementKey, ...] = ()
+    at_largest_measured: tuple[Estimate, tuple[float, float]] | None = (
+        None  # at the greatest size of what it rests on
+    )
+    is_extrapolated: bool = False  # the sizes at which what it rests on was taken
 
     @property
-    def untold(self) -> bool:
+    def is_inconclusive(self) -> bool:
         """Beyond the sizes taken, and its range tells nothing."""
-        return self.value is not None and self.beyond and self.value.is_wide
+        return self.value is not None and self.is_extrapolated and self.value.is_wide
 
     @property
-    def passed(self) -> bool:
+    def is_exceeded(self) -> bool:
         budget = self.fact.budget
         if self.value is None or budget is None:
             return False
-        if self.untold and self.taken is not None:
-            return self.taken[0].value > budget  # there already
+        if self.is_inconclusive and self.at_largest_measured is not None:
+            return self.at_largest_measured[0].value > budget  # there already
         return self.value.value > budget
 
 
-def reckon(fact: Fact, figures: FitCache, size: tuple[float, float] | None = None) -> Reckoned:
-    at = EvaluationPoint(*(size or target_size()), figures)
+def evaluate_fact(fact: Fact, fit_cache: FitCache, size: tuple[float, float] | None = None) -> FactResult:
+    at = EvaluationPoint(*(size or target_size()), fit_cache)
     try:
-        value = fact.value(at)
-        return Reckoned(
+        value = fact.evaluate(at)
+        return FactResult(
             fact,
             value,
             "",
             tuple(at.used_keys),
-            evaluate_at_largest_measured(fact.value, at.used_keys, figures),
+            evaluate_at_largest_measured(fact.evaluate, at.used_keys, fit_cache),
             is_extrapolated(at),
         )
     except NotMeasured as error:
-        return Reckoned(fact, None, str(error), tuple(at.used_keys))
+        return FactResult(fact, None, str(error), tuple(at.used_keys))
 
 
-def _one(s: EvaluationPoint) -> Estimate:
+def _change_in_force(s: EvaluationPoint) -> Estimate:
     return s.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another")
 
 
-def _one_p99(s: EvaluationPoint) -> Estimate:
+def _change_in_force_p99(s: EvaluationPoint) -> Estimate:
     return s.estimate(
         "version_in_force_s", "gateways", kind="simulated", note="one after another", stat="high"
     )
 
 
-def _left_at_night(s: EvaluationPoint) -> Estimate:
+def _changes_left_over(s: EvaluationPoint) -> Estimate:
     """Changes of a day that are not made by its end; of a longer time, more."""
-    one = _one(s)
-    made = [min(given("changes_a_day"), DAY / max(1e-9, t)) for t in (one.value, one.high, one.low)]
+    one = _change_in_force(s)
+    made = [min(given("changes_a_day"), DAY_S / max(1e-9, t)) for t in (one.value, one.high, one.low)]
     left = [given("changes_a_day") - m for m in made]
     return Estimate(left[0], min(left), math.inf if one.is_wide else max(left))
 
 
-def _burst_last(s: EvaluationPoint) -> Estimate:
+def _last_burst_change(s: EvaluationPoint) -> Estimate:
     """How long the burst's last change waits and takes, where they go one after another."""
     changes = given("burst") * CHANGES_PER_S * given("burst_s")
-    one = _one(s)
+    one = _change_in_force(s)
     wait = [max(t, changes * t - given("burst_s")) for t in (one.value, one.low, one.high)]
     return Estimate(*wait)
 
 
-def _newcomers(s: EvaluationPoint) -> Estimate:
+def _newcomer_datagrams(s: EvaluationPoint) -> Estimate:
     return s.estimate("state_newcomer_datagrams", "gateways", kind="simulated", day="losses") * (
         s.gateways / given("regions")
     )
@@ -120,34 +122,52 @@
     return heard + exact(given("silent_s"))
 
 
-def _stand(events: Callable[[EvaluationPoint], float]) -> Callable[[EvaluationPoint], Estimate]:
-    return lambda s: s.estimate("module_list_delta_us", "engines") * (events(s) / 1e6)
+def _list_events_stall(
+    event_count: Callable[[EvaluationPoint], float],
+) -> Callable[[EvaluationPoint], Estimate]:
+    return lambda s: s.estimate("module_list_delta_us", "engines") * (event_count(s) / 1e6)
 
 
-def _known(s: EvaluationPoint) -> Estimate:
+def _removal_known(s: EvaluationPoint) -> Estimate:
     return s.estimate("removal_known_s", "gateways", kind="simulated", day="losses")
 
 
-def _out_most(s: EvaluationPoint) -> float:
+def _max_gateways_out(s: EvaluationPoint) -> float:
     return given("out_share") * s.gateways
 
 
-REGION, ZONE = given("regions"), given("zones")
-MISSED = CHANGES_PER_S * given("cut_s")
-MEAN, BURST, BACK = "64,000 changes a day", "a burst of ten times the mean", "a region back after an hour"
-PRIMARIES, RESTARTS, RACK = (
+REGION_COUNT, ZONE_COUNT = given("regions"), given("zones")
+MISSED_CHANGES = CHANGES_PER_S * given("cut_s")
+MEAN_RATE, BURST, REGION_BACK = (
+    "64,000 changes a day",
+    "a burst of ten times the mean",
+    "a region back after an hour",
+)
+PRIMARY_CHANGES, RESTARTS, RACK_LOST = (
     "26 changes of primary a day",
     "1,800 restarts, 21 failures a day",
     "a rack: 40 at once",
 )
-A_ZONE, APART, CARRIER = "a zone", "two regions apart for an hour", "a control machine killed or stopped"
+ZONE_LOST, REGIONS_SPLIT, CONTROL_MACHINE_LOST = (
+    "a zone",
+    "two regions apart for an hour",
+    "a control machine killed or stopped",
+)
 
 FACTS: tuple[Fact, ...] = (
-    Fact("mean_one", MEAN, "one change, until all act on it", "s", _one, DUE, "one is due each 1.35 s"),
-    Fact("mean_p99", MEAN, "the same, p99", "s", _one_p99, IN_FORCE_BUDGET_S, "3 s"),
+    Fact(
+        "mean_one",
+        MEAN_RATE,
+        "one change, until all act on it",
+        "s",
+        _change_in_force,
+        CHANGE_INTERVAL_S,
+        "one is due each 1.35 s",
+    ),
+    Fact("mean_p99", MEAN_RATE, "the same, p99", "s", _change_in_force_p99, IN_FORCE_BUDGET_S, "3 s"),
     Fact(
         "mean_far",
-        MEAN,
+        MEAN_RATE,
         "round trips of one change alone, the leader in the farthest region",
         "s",
         lambda s: exact(given("change_round_trips") * given("rtt_region_s")),
@@ -156,24 +176,26 @@
     ),
     Fact(
         "mean_near",
-        MEAN,
+        MEAN_RATE,
         "the same inside a region",
         "s",
         lambda s: exact(given("change_round_trips") * given("rtt_zone_s")),
         IN_FORCE_BUDGET_S,
         "3 s",
     ),
-    Fact("mean_left", MEAN, "changes not made by the day's end", "count", _left_at_night, 0.0, "none"),
+    Fact(
+        "mean_left", MEAN_RATE, "changes not made by the day's end", "count", _changes_left_over, 0.0, "none"
+    ),
     Fact(
         "mean_told",
-        MEAN,
+        MEAN_RATE,
         "datagrams out of the leader for one",
         "count",
         lambda s: exact(ENTRIES_PER_CHANGE * REBROADCASTS_PER_ENTRY * s.gateways),
     ),
     Fact(
         "mean_bytes",
-        MEAN,
+        MEAN_RATE,
         "bytes at a gateway for one, told three times",
         "bytes",
         lambda s: exact(CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY),
@@ -190,7 +212,7 @@
         BURST,
         "the last one in force, one after another",
         "s",
-        _burst_last,
+        _last_burst_change,
         IN_FORCE_BUDGET_S,
         "3 s",
     ),
@@ -203,21 +225,29 @@
         given("control_bytes_per_s"),
         "4 KB/s",
     ),
-    Fact("back_missed", BACK, "changes that it missed", "count", lambda s: exact(MISSED)),
+    Fact("back_missed", REGION_BACK, "changes that it missed", "count", lambda s: exact(MISSED_CHANGES)),
     Fact(
         "back_entries",
-        BACK,
+        REGION_BACK,
         "entries of the log that it missed",
         "count",
-        lambda s: exact(MISSED * ENTRIES_PER_CHANGE),
+        lambda s: exact(MISSED_CHANGES * ENTRIES_PER_CHANGE),
         given("entries_kept"),
         "the 128 that are kept; past them the whole state",
     ),
-    Fact("back_gateways", BACK, "gateways that need it", "count", lambda s: exact(s.gateways / REGION)),
-    Fact("back_datagrams", BACK, "datagrams of the state to all of them", "count", _newcomers),
+    Fact(
+        "back_gateways",
+        REGION_BACK,
+        "gateways that need it",
+        "count",
+        lambda s: exact(s.gateways / REGION_COUNT),
+    ),
+    Fact(
+        "back_datagrams", REGION_BACK, "datagrams of the state to all of them", "count", _newcomer_datagrams
+    ),
     Fact(
         "back_s",
-        BACK,
+        REGION_BACK,
         "until one holds the state",
         "s",
         lambda s: s.estimate("state_newcomer_s", "gateways", kind="simulated", day="losses"),
@@ -226,14 +256,14 @@
     ),
     Fact(
         "primary_apart",
-        PRIMARIES,
+        PRIMARY_CHANGES,
         "from one to the next, mean",
         "s",
         lambda s: exact(1 / daily_rate_per_s("primary_changes_a_day")),
     ),
     Fact(
         "primary_shut",
-        PRIMARIES,
+        PRIMARY_CHANGES,
         "an engine silent, then its list event held by all, p99",
         "s",
         _engine_shut,
@@ -242,16 +272,16 @@
     ),
     Fact(
         "primary_home",
-        PRIMARIES,
+        PRIMARY_CHANGES,
         "a home of loads moved: a change of settings, p99",
         "s",
-        _one_p99,
+        _change_in_force_p99,
         PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
         "primary_leader",
-        PRIMARIES,
+        PRIMARY_CHANGES,
         "a council's leader: election and T, at most",
         "s",
         lambda s: exact(given("election_s") + given("stated_s")),
@@ -260,7 +290,7 @@
     ),
     Fact(
         "primary_events",
-        PRIMARIES,
+        PRIMARY_CHANGES,
         "list events told for one, to all: leaving, then ready",
         "count",
         lambda s: exact(2 * s.gateways),
@@ -302,67 +332,73 @@
         RESTARTS,
         "days until failures that nobody gives up stop all restarts",
         "days",
-        lambda s: exact(_out_most(s) / given("failures_a_day")),
+        lambda s: exact(_max_gateways_out(s) / given("failures_a_day")),
     ),
-    Fact("rack_known", RACK, "gateways gone, known to nine in ten", "s", _known),
+    Fact("rack_known", RACK_LOST, "gateways gone, known to nine in ten", "s", _removal_known),
     Fact(
         "rack_stand",
-        RACK,
+        RACK_LOST,
         "engines gone, 40 list events in a row: a gateway stands",
         "s",
-        _stand(lambda s: given("rack")),
+        _list_events_stall(lambda s: given("rack")),
         given("answer_slack_ms") / 1e3,
         "the slack of a final answer",
     ),
     Fact(
         "rack_room",
-        RACK,
+        RACK_LOST,
         "out in the rack's zone, a tenth of it allowed",
         "count",
         lambda s: exact(given("rack")),
-        given("out_zone_share") * target_size()[0] / ZONE,
+        given("out_zone_share") * target_size()[0] / ZONE_COUNT,
         "21: no restart in that zone until they are back",
     ),
     Fact(
         "zone_gateways",
-        A_ZONE,
+        ZONE_LOST,
         "gateways gone",
         "count",
-        lambda s: exact(s.gateways / ZONE),
+        lambda s: exact(s.gateways / ZONE_COUNT),
         given("out_share") * target_size()[0],
         "200 out: no restart anywhere until they are back or given up",
     ),
-    Fact("zone_engines", A_ZONE, "engines gone", "count", lambda s: exact(s.engines / ZONE)),
-    Fact("zone_load", A_ZONE, "more load on each of the rest", "share", lambda s: exact(1 / (ZONE - 1))),
+    Fact("zone_engines", ZONE_LOST, "engines gone", "count", lambda s: exact(s.engines / ZONE_COUNT)),
+    Fact(
+        "zone_load",
+        ZONE_LOST,
+        "more load on each of the rest",
+        "share",
+        lambda s: exact(1 / (ZONE_COUNT - 1)),
+    ),
     Fact(
         "zone_clients",
-        A_ZONE,
+        ZONE_LOST,
         "clients that connect anew, a gateway left",
         "count",
-        lambda s: exact(CLIENTS_PER_GATEWAY / (ZONE - 1)),
+        lambda s: exact(CLIENTS_PER_GATEWAY / (ZONE_COUNT - 1)),
     ),
-    Fact("zone_known", A_ZONE, "gateways gone, known to nine in ten", "s", _known),
+    Fact("zone_known", ZONE_LOST, "gateways gone, known to nine in ten", "s", _removal_known),
     Fact(
         "zone_stand",
-        A_ZONE,
+        ZONE_LOST,
         "a list event for each engine: a gateway stands",
         "s",
-        _stand(lambda s: s.engines / ZONE),
+        _list_events_stall(lambda s: s.engines / ZONE_COUNT),
         given("answer_slack_ms") / 1e3,
         "the slack of a final answer",
     ),
     Fact(
         "apart_gateways",
-        APART,
+        REGIONS_SPLIT,
         "gateways without a lease, cut from the leader alone",
         "count",
-        lambda s: exact(s.gateways / REGION),
+        lambda s: exact(s.gateways / REGION_COUNT),
         given("out_share") * target_size()[0],
         "200 out: no restart anywhere for the hour",
     ),
     Fact(
         "apart_t",
-        APART,
+        REGIONS_SPLIT,
         "until they act on the stricter of two, at most",
         "s",
         lambda s: exact(given("stated_s")),
@@ -371,16 +407,16 @@
     ),
     Fact(
         "apart_dropped",
-        APART,
+        REGIONS_SPLIT,
         "changes that can not be made: each drops for want of their word",
         "count",
-        lambda s: exact(MISSED),
+        lambda s: exact(MISSED_CHANGES),
         0.0,
         "none",
     ),
     Fact(
         "carrier_s",
-        CARRIER,
+        CONTROL_MACHINE_LOST,
         "a leader anew: election and T, at most",
         "s",
         lambda s: exact(given("election_s") + given("stated_s")),
@@ -388,6 +424,10 @@
         "5 s",
     ),
     Fact(
-        "carrier_leases", CARRIER, "a lease outlives it by, at most", "s", lambda s: exact(given("lease_s"))
+        "carrier_leases",
+        CONTROL_MACHINE_LOST,
+        "a lease outlives it by, at most",
+        "s",
+        lambda s: exact(given("lease_s")),
     ),
 )
--- a/whintrail/scale/simulate.py
+++ b/whintrail/scale/simulate.py
@@ -36,16 +36,16 @@
 from whintrail.versions.rules import Rules, canonicalize
 
 KIND: Kind = "simulated"
-HEADERS = 28  # bytes of IPv4 and UDP
+DATAGRAM_HEADER_BYTES = 28  # bytes of IPv4 and UDP
 COUNCIL = (0, 1, 2, 3, 4)
 ZONES = tuple(f"z{n}" for n in range(19))
 MEAN_CHANGES_PER_S = 64_000 / 86_400
-POLL_S = 0.05
-SIZES = "50,100,200,400,800,1600,4000"
+POLL_INTERVAL_S = 0.05
+DEFAULT_SIZES = "50,100,200,400,800,1600,4000"
 PARTS = ("quiet", "changes", "bounds", "losses", "slots", "mean", "ten times")
 
 # What a second from a start costs, for a checkout with any version of the cores.
-COST = """
+COST_SCRIPT = """
 import gc, sys, time
 from whintrail.fleet.node import Given
 from whintrail.standins.fleet_simulation import World
@@ -78,23 +78,23 @@
 
 
 @dataclass(slots=True)
-class Found:
+class JobResults:
     """Values by quantity, unit, role, day and note; and what could not be had."""
 
     values: dict[tuple[str, str, str, str, str], list[float]] = field(default_factory=dict)
-    said: list[str] = field(default_factory=list)
+    problems: list[str] = field(default_factory=list)
 
     def add(self, quantity: str, unit: str, value: float, **more: str) -> None:
         key = quantity, unit, more.get("role", "gateway"), more.get("day", "steady"), more.get("note", "")
         self.values.setdefault(key, []).append(value)
 
 
-class Timed:
+class NodeTimer:
     """Counts the processor time of one node's core, as it is called by the world."""
 
     def __init__(self, process: Process) -> None:
         assert process.node is not None
-        self.node, self.spent = process.node, 0.0
+        self.node, self.cpu_s = process.node, 0.0
         for name in ("take", "tick", "flush"):
             setattr(self.node, name, partial(self._call, getattr(self.node, name)))
 
@@ -103,59 +103,59 @@
         try:
             return what(*args)
         finally:
-            self.spent += time.process_time() - began
+            self.cpu_s += time.process_time() - began
 
-    def end(self) -> None:
+    def detach(self) -> None:
         for name in ("take", "tick", "flush"):
             delattr(self.node, name)
 
 
-def memory_mb() -> float:
+def peak_memory_mb() -> float:
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-class Bounded(FleetSimulation):
+class BoundedWorld(FleetSimulation):
     """Looks at its bounds while it is made and while it runs."""
 
     def __init__(self, job: Job, given: Callable[[int, str], FleetConfig]) -> None:
         self.job = job
         super().__init__(given, job.gateways, job.seed, drift=0.01)
 
-    def look(self) -> None:
+    def check_bounds(self) -> None:
         if time.process_time() > self.job.cpu_s:
             raise BoundError(f"--cpu-seconds {self.job.cpu_s:g} used")
-        if memory_mb() > self.job.memory_mb:
+        if peak_memory_mb() > self.job.memory_mb:
             raise BoundError(f"--memory-mb {self.job.memory_mb} used")
 
     def start(self, number: int, build: str = "old") -> Process:
         if number % 64 == 0:
-            self.look()
+            self.check_bounds()
         return super().start(number, build)
 
-    def go(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
+    def run_until(self, seconds: float, condition: Callable[[], bool] | None = None) -> bool:
         """As `run`, with the condition looked at each `POLL_S` of simulated time."""
         end = self.now + int(seconds * 1e6)
         while self.now < end:
-            self.run(min(POLL_S, (end - self.now) / 1e6))
-            self.look()
-            if until is not None and until():
+            self.run(min(POLL_INTERVAL_S, (end - self.now) / 1e6))
+            self.check_bounds()
+            if condition is not None and condition():
                 return True
-        return until is None
+        return condition is None
 
 
-class Play:
+class JobPlayer:
     """One size with one seed; `found` holds what was had when a bound ended it."""
 
-    def __init__(self, job: Job, found: Found, tell: Callable[[str | Found], None]) -> None:
-        self.job, self.found, self.tell, self.random = job, found, tell, Random(job.seed)
+    def __init__(self, job: Job, results: JobResults, send: Callable[[str | JobResults], None]) -> None:
+        self.job, self.results, self.send, self.random = job, results, send, Random(job.seed)
         self.count = job.gateways
         began = time.process_time()
-        self.world = Bounded(job, self.given)
+        self.world = BoundedWorld(job, self.build_config)
         self.world.assume_all_known()
-        found.add("build_s", "s", time.process_time() - began)
-        self.changes = 0
+        results.add("build_s", "s", time.process_time() - began)
+        self.change_count = 0
 
-    def given(self, number: int, build: str) -> FleetConfig:
+    def build_config(self, number: int, build: str) -> FleetConfig:
         """Without the bound of messages a second: what would be sent is to be seen."""
         zone = number % len(ZONES)
         return FleetConfig(
@@ -172,50 +172,50 @@
             bytes_per_s=1e9,
         )
 
-    def whole(self) -> None:
+    def play(self) -> None:
         for name, part in (
-            ("start", self.start),
-            ("quiet", self.quiet),
-            ("bounds", self.bounds),  # before a change has all report
-            ("changes", self.one_after_another),
-            ("losses", self.losses),
-            ("slots", self.slots),
-            ("mean", partial(self.rate, MEAN_CHANGES_PER_S, "0.74/s")),
-            ("ten times", partial(self.rate, 10 * MEAN_CHANGES_PER_S, "7.4/s")),
+            ("start", self.play_start),
+            ("quiet", self.play_quiet),
+            ("bounds", self.play_bounds),  # before a change has all report
+            ("changes", self.play_sequential_changes),
+            ("losses", self.play_losses),
+            ("slots", self.play_slots),
+            ("mean", partial(self.play_change_rate, MEAN_CHANGES_PER_S, "0.74/s")),
+            ("ten times", partial(self.play_change_rate, 10 * MEAN_CHANGES_PER_S, "7.4/s")),
         ):
             if name in self.job.parts or name == "start":
-                self.tell(f"{self.count} gateways, seed {self.job.seed}: {name}")
+                self.send(f"{self.count} gateways, seed {self.job.seed}: {name}")
                 part()
-                self.tell(self.found)  # what was had so far is kept, whatever ends this process
+                self.send(self.results)  # what was had so far is kept, whatever ends this process
 
-    def lead(self) -> int:
+    def wait_for_leader(self) -> int:
         leader = self.world.leader()
         if leader is None:
-            self.world.go(20, lambda: self.world.leader() is not None)
+            self.world.run_until(20, lambda: self.world.leader() is not None)
             leader = self.world.leader()
         if leader is None:
             raise BoundError("no leader within 20 s")
         return leader
 
-    def start(self) -> None:
-        self.lead()
-        self.found.add("leader_s", "s", self.world.now / 1e6, role="leader")
-        self.world.go(4)
+    def play_start(self) -> None:
+        self.wait_for_leader()
+        self.results.add("leader_s", "s", self.world.now / 1e6, role="leader")
+        self.world.run_until(4)
 
     # --- A quiet fleet.
 
-    def quiet(self) -> None:
-        world, leader, seconds = self.world, self.lead(), self.job.seconds
+    def play_quiet(self) -> None:
+        world, leader, seconds = self.world, self.wait_for_leader(), self.job.seconds
         others = [n for n in range(self.count) if n not in COUNCIL]
-        watched = {n: Timed(self._process(n)) for n in (leader, *self.random.sample(others, 5))}
+        watched = {n: NodeTimer(self._process(n)) for n in (leader, *self.random.sample(others, 5))}
         before = list(self._traffic())
         removals = sum(world.node(n).membership.removals for n in world.running_numbers())
         began = time.process_time()
-        world.go(seconds)
+        world.run_until(seconds)
         spent = time.process_time() - began
         after = list(self._traffic())
         for timed in watched.values():
-            timed.end()
+            timed.detach()
         rates = [
             [(b - a) / seconds for a, b in zip(*pair, strict=True)]
             for pair in zip(before, after, strict=True)
@@ -226,21 +226,27 @@
                 statistics.median(row[n] for row in rows) for n in range(4)
             )
             both = statistics.median(row[0] + row[2] for row in rows)
-            size = statistics.median(row[1] + row[3] + HEADERS * (row[0] + row[2]) for row in rows)
-            self.found.add("member_datagrams_per_s", "datagrams/s", both, role=role)
-            self.found.add("member_bytes_per_s", "bytes/s", size, role=role)
-            self.found.add("sent_per_s", "datagrams/s", sent, role=role)
-            self.found.add("heard_per_s", "datagrams/s", heard, role=role)
-            self.found.add("sent_bytes_per_s", "bytes/s", sent_bytes + HEADERS * sent, role=role)
-            self.found.add("heard_bytes_per_s", "bytes/s", heard_bytes + HEADERS * heard, role=role)
-        self.found.add("sim_cpu_s", "s", spent / seconds, note="after, a quiet fleet")
-        self.found.add("leader_cpu_share", "share", watched[leader].spent / seconds, role="leader")
+            size = statistics.median(
+                row[1] + row[3] + DATAGRAM_HEADER_BYTES * (row[0] + row[2]) for row in rows
+            )
+            self.results.add("member_datagrams_per_s", "datagrams/s", both, role=role)
+            self.results.add("member_bytes_per_s", "bytes/s", size, role=role)
+            self.results.add("sent_per_s", "datagrams/s", sent, role=role)
+            self.results.add("heard_per_s", "datagrams/s", heard, role=role)
+            self.results.add(
+                "sent_bytes_per_s", "bytes/s", sent_bytes + DATAGRAM_HEADER_BYTES * sent, role=role
+            )
+            self.results.add(
+                "heard_bytes_per_s", "bytes/s", heard_bytes + DATAGRAM_HEADER_BYTES * heard, role=role
+            )
+        self.results.add("sim_cpu_s", "s", spent / seconds, note="after, a quiet fleet")
+        self.results.add("leader_cpu_share", "share", watched[leader].cpu_s / seconds, role="leader")
         for number, timed in watched.items():
             if number != leader:
-                self.found.add("member_cpu_share", "share", timed.spent / seconds)
+                self.results.add("member_cpu_share", "share", timed.cpu_s / seconds)
         false = sum(world.node(n).membership.removals for n in world.running_numbers()) - removals
-        self.found.add("false_removals", "count", false / (self.count * seconds / 3600))
-        self.found.add("memory_mb", "MB", memory_mb())
+        self.results.add("false_removals", "count", false / (self.count * seconds / 3600))
+        self.results.add("memory_mb", "MB", peak_memory_mb())
 
     def _process(self, number: int) -> Process:
         process = self.world.processes[number]
@@ -253,38 +259,38 @@
             world.sent_copies, world.sent_copy_bytes, world.received, world.received_bytes, strict=True
         )
 
-    def bounds(self) -> None:
+    def play_bounds(self) -> None:
         """With the bounds of messages and bytes a second that a gateway has where the file says nothing."""
         world, usual = self.world, FleetConfig("f", 0, 1, (0,))
         nodes = [world.node(n) for n in world.running_numbers()]
         for node in nodes:
             spending = node.send_budget
             spending.messages_per_s, spending.bytes_per_s = usual.messages_per_s, usual.bytes_per_s
-        world.go(3)
+        world.run_until(3)
         before = [node.counters["held_back"] for node in nodes]
         sent = [node.counters["sent"] for node in nodes]
-        leader, unleased, looks = self.lead(), 0, 20
+        leader, unleased, looks = self.wait_for_leader(), 0, 20
         for _ in range(looks):
-            world.go(5 / looks)
-            unleased += sum(not self._acts(n, 0) for n in world.running_numbers())
+            world.run_until(5 / looks)
+            unleased += sum(not self._acts_on(n, 0) for n in world.running_numbers())
         held = [node.counters["held_back"] - b for node, b in zip(nodes, before, strict=True)]
         sent = [node.counters["sent"] - b for node, b in zip(nodes, sent, strict=True)]
         note = f"bounds of {usual.messages_per_s:g} datagrams and {usual.bytes_per_s:g} bytes a second"
         share = held[leader] / max(1, held[leader] + sent[leader])
-        self.found.add("held_back_share", "share", share, role="leader", day="bounds", note=note)
-        self.found.add("unleased_share", "share", unleased / looks / len(nodes), day="bounds", note=note)
+        self.results.add("held_back_share", "share", share, role="leader", day="bounds", note=note)
+        self.results.add("unleased_share", "share", unleased / looks / len(nodes), day="bounds", note=note)
         leads = float(world.leader() == leader)
-        self.found.add("leader_kept", "share", leads, role="leader", day="bounds", note=note)
+        self.results.add("leader_kept", "share", leads, role="leader", day="bounds", note=note)
         for node in nodes:
             node.send_budget.messages_per_s, node.send_budget.bytes_per_s = 1e6, 1e9
-        world.go(4)
+        world.run_until(4)
 
     # --- Changes.
 
     def _propose(self, who: int) -> tuple[int, Rules]:
         """Its number, and what is in force once all act on it."""
-        self.changes += 1
-        body = canonicalize(Rules(caps={"report": self.changes}))
+        self.change_count += 1
+        body = canonicalize(Rules(caps={"report": self.change_count}))
         node = self.world.node(who)
         assert node.settings is not None
         number = node.state.versions.number + 1
@@ -296,7 +302,7 @@
         )
         return number, body
 
-    def _acts(self, number: int, version: int) -> bool:
+    def _acts_on(self, number: int, version: int) -> bool:
         """Whether this gateway acts on a version at least so new, and on it alone, by a lease."""
         settings = self.world.node(number).settings
         assert settings is not None
@@ -304,83 +310,87 @@
         later = rule.number > version
         return rule.leased and (later or (rule.number == version and rule.phase is not rule.phase.ENTERING))
 
-    def one_after_another(self) -> None:
+    def play_sequential_changes(self) -> None:
         for _ in range(4):
             world, began, lines = self.world, self.world.now, len(self.world.log_lines)
-            self.lead()
+            self.wait_for_leader()
             version, _ = self._propose(self.random.choice(world.running_numbers()))
             left = set(world.running_numbers())
 
             def everywhere(left: set[int] = left, version: int = version) -> bool:
-                left -= {number for number in left if self._acts(number, version)}
+                left -= {number for number in left if self._acts_on(number, version)}
                 return not left
 
-            done = world.go(25, everywhere)
+            done = world.run_until(25, everywhere)
             steps: dict[str, int] = {}
             for at, _, what, more in world.log_lines[lines:]:
                 if more.get("version") == version:
                     steps.setdefault(what, at)
             if done:
                 note = "one after another"
-                self.found.add("version_in_force_s", "s", (world.now - began) / 1e6, note=note)
+                self.results.add("version_in_force_s", "s", (world.now - began) / 1e6, note=note)
                 marks = [began, *steps.values(), world.now]
                 names = ("proposed", "checked", "entering", "told")
                 for name, a, b in zip(names, marks, marks[1:], strict=False):
-                    self.found.add(f"version_{name}_s", "s", (b - a) / 1e6, note=note)
+                    self.results.add(f"version_{name}_s", "s", (b - a) / 1e6, note=note)
             else:
                 dropped = [
                     str(more) for _, _, what, more in world.log_lines[lines:] if what == "version dropped"
                 ]
                 why = dropped[0] if dropped else f"{len(left)} don't act on it, {sorted(steps)}"
-                self.found.said.append(f"{self.count}: change {version} not in force within 25 s: {why}")
+                self.results.problems.append(
+                    f"{self.count}: change {version} not in force within 25 s: {why}"
+                )
             world.log_lines.clear()
-            world.go(2)
+            world.run_until(2)
 
-    def rate(self, per_s: float, note: str, seconds: float = 20.0) -> None:
+    def play_change_rate(self, per_s: float, note: str, seconds: float = 20.0) -> None:
         """Changes come at a rate; each is proposed as soon as the one before it has settled: nobody could do
         better, as a version is made on the one before. Time counts from its coming."""
         world, waiting, began = self.world, deque[int](), self.world.now
         under: list[tuple[int, int, set[int]]] = []  # came, version, who doesn't act on it yet
         took: list[float] = []
-        came, settled = 0, self._version()
+        came, settled = 0, self._newest_version()
         while world.now - began < seconds * 1e6:
             while came < (world.now - began) / 1e6 * per_s:
                 waiting.append(began + int(came / per_s * 1e6))
                 came += 1
-            who = self.lead()
-            if waiting and self._free(who) and (not under or under[-1][1] <= self._version()):
+            who = self.wait_for_leader()
+            if waiting and self._can_propose(who) and (not under or under[-1][1] <= self._newest_version()):
                 version, _ = self._propose(who)
                 under.append((waiting.popleft(), version, set(world.running_numbers())))
-            world.go(POLL_S)
+            world.run_until(POLL_INTERVAL_S)
             for each in list(under):
-                each[2].difference_update({number for number in each[2] if self._acts(number, each[1])})
+                each[2].difference_update({number for number in each[2] if self._acts_on(number, each[1])})
                 if not each[2]:
                     under.remove(each)
                     took.append((world.now - each[0]) / 1e6)
         for value in took:
-            self.found.add(
+            self.results.add(
                 "version_in_force_s", "s", value, note=f"at {note}, of those done in {seconds:g} s"
             )
-        self.found.add("versions_per_s", "count", (self._version() - settled) / seconds, note=f"at {note}")
-        self.found.add(
+        self.results.add(
+            "versions_per_s", "count", (self._newest_version() - settled) / seconds, note=f"at {note}"
+        )
+        self.results.add(
             "versions_waiting", "count", float(came - len(took)), note=f"at {note} for {seconds:g} s"
         )
-        world.go(5)
+        world.run_until(5)
 
-    def _version(self) -> int:
+    def _newest_version(self) -> int:
         return max(self.world.node(n).state.versions.number for n in COUNCIL if self.world.processes[n])
 
-    def _free(self, who: int) -> bool:
+    def _can_propose(self, who: int) -> bool:
         node = self.world.node(who)
         return node.state.versions.next is None and not node.leader_client.requests
 
     # --- Slots.
 
-    def slots(self) -> None:
+    def play_slots(self) -> None:
         world, rest = self.world, [n for n in range(self.count) if n not in COUNCIL]
         for who in self.random.sample(rest, 3):
-            world.go(14)  # nobody wants reports any more: the leader knows of nobody that it serves
-            self.lead()
+            world.run_until(14)  # nobody wants reports any more: the leader knows of nobody that it serves
+            self.wait_for_leader()
             node, began = world.node(who), world.now
             outcomes: list[RequestOutcome] = []
             node.submit(world.clock(who), SlotRequest(node.boot_id, "old"), 30, True)
@@ -389,17 +399,17 @@
                 outcomes += world.node(who).take_outcomes()
                 return bool(outcomes)
 
-            world.go(31, answered)
+            world.run_until(31, answered)
             if outcomes and outcomes[0].status == DONE:
-                self.found.add("slot_s", "s", (world.now - began) / 1e6)
+                self.results.add("slot_s", "s", (world.now - began) / 1e6)
             else:
                 text = outcomes[0].text if outcomes else "no answer"
-                self.found.said.append(f"{self.count}: no slot within 30 s: {text}")
-            world.go(4)  # it is given back unused
+                self.results.problems.append(f"{self.count}: no slot within 30 s: {text}")
+            world.run_until(4)  # it is given back unused
 
     # --- Losses and newcomers.
 
-    def losses(self) -> None:
+    def play_losses(self) -> None:
         world, rest = self.world, [n for n in range(self.count) if n not in COUNCIL]
         victims = self.random.sample(rest, 3)
         began = world.now
@@ -412,53 +422,57 @@
                 lives = [world.node(n).membership.members[victim].state for n in world.running_numbers()]
                 if sum(life is MemberState.GONE for life in lives) >= known:
                     left.discard(victim)
-                    self.found.add("removal_known_s", "s", (world.now - began) / 1e6, day="losses")
+                    self.results.add("removal_known_s", "s", (world.now - began) / 1e6, day="losses")
             return not left
 
-        if not world.go(60, suspects):
-            self.found.said.append(f"{self.count}: {len(left)} of 3 losses not known to nine in ten in 60 s")
+        if not world.run_until(60, suspects):
+            self.results.problems.append(
+                f"{self.count}: {len(left)} of 3 losses not known to nine in ten in 60 s"
+            )
         for victim in victims:
-            self.lead()
+            self.wait_for_leader()
             at = world.now
             world.start(victim)
             heard = world.received[victim]
 
             def held(victim: int = victim) -> bool:
-                return world.node(victim).replica.position >= world.node(self.lead()).replica.position
+                return (
+                    world.node(victim).replica.position >= world.node(self.wait_for_leader()).replica.position
+                )
 
-            if world.go(30, held):
+            if world.run_until(30, held):
                 note = f"state of {len(world.state().encode())} bytes"
-                self.found.add("state_newcomer_s", "s", (world.now - at) / 1e6, day="losses")
+                self.results.add("state_newcomer_s", "s", (world.now - at) / 1e6, day="losses")
                 count = float(world.received[victim] - heard)
-                self.found.add("state_newcomer_datagrams", "count", count, day="losses", note=note)
+                self.results.add("state_newcomer_datagrams", "count", count, day="losses", note=note)
             else:
-                self.found.said.append(f"{self.count}: a newcomer holds no state after 30 s")
+                self.results.problems.append(f"{self.count}: a newcomer holds no state after 30 s")
 
             def leased(victim: int = victim) -> bool:
-                return self._acts(victim, world.node(self.lead()).state.versions.number)
+                return self._acts_on(victim, world.node(self.wait_for_leader()).state.versions.number)
 
-            if world.go(30, leased):
-                self.found.add("newcomer_leased_s", "s", (world.now - at) / 1e6, day="losses")
+            if world.run_until(30, leased):
+                self.results.add("newcomer_leased_s", "s", (world.now - at) / 1e6, day="losses")
             else:
-                self.found.said.append(f"{self.count}: a newcomer has no lease after 30 s")
+                self.results.problems.append(f"{self.count}: a newcomer has no lease after 30 s")
 
 
-def played(job: Job, pipe: Connection) -> None:
+def run_job(job: Job, pipe: Connection) -> None:
     import gc
 
     gc.disable()  # millions of members, and nothing in a circle that matters in a run so short
-    found = Found()
+    found = JobResults()
     try:
-        Play(job, found, pipe.send).whole()
+        JobPlayer(job, found, pipe.send).play()
     except BoundError as error:
-        found.said.append(f"{job.gateways} gateways, seed {job.seed}, ended early: {error}")
+        found.problems.append(f"{job.gateways} gateways, seed {job.seed}, ended early: {error}")
     except KeyboardInterrupt:
         return
     pipe.send(found)
     pipe.close()
 
 
-def spread(jobs: list[Job], at_once: int) -> Iterator[tuple[Job, Found]]:
+def run_jobs(jobs: list[Job], at_once: int) -> Iterator[tuple[Job, JobResults]]:
     """Each in a process of its own, which ends with this one whatever happens. A job's newest figures come
     after each part of it, in place of those before."""
     waiting, running = deque(jobs), dict[Connection, tuple[Job, SpawnProcess]]()
@@ -468,7 +482,7 @@
             while waiting and len(running) < at_once:
                 job = waiting.popleft()
                 here, there = context.Pipe(duplex=False)
-                process = context.Process(target=played, args=(job, there), daemon=True)
+                process = context.Process(target=run_job, args=(job, there), daemon=True)
                 process.start()
                 there.close()
                 running[here] = job, process
@@ -491,28 +505,28 @@
             process.join(5)
 
 
-def costs(tree: Path, sizes: list[int], seeds: int, note: str) -> Iterator[Sample]:
+def measure_costs(checkout: Path, sizes: list[int], seeds: int, note: str) -> Iterator[Sample]:
     """Processor seconds a simulated second from a start, by the cores of a checkout."""
     for count in sizes:
         values = []
         for seed in range(1, seeds + 1):
             click.echo(f"{count} gateways, seed {seed}: {note}", err=True)
-            asked = [sys.executable, "-c", COST, str(count), str(seed)]
-            environment = {**os.environ, "PYTHONPATH": str(tree)}
+            asked = [sys.executable, "-c", COST_SCRIPT, str(count), str(seed)]
+            environment = {**os.environ, "PYTHONPATH": str(checkout)}
             done = subprocess.run(
-                asked, cwd=tree, env=environment, capture_output=True, text=True, check=True
+                asked, cwd=checkout, env=environment, capture_output=True, text=True, check=True
             )
             values.append(float(done.stdout))
-        yield replace_note(sample("sim_cpu_s", "s", (count, 0), values, KIND), note=note)
+        yield replace_fields(sample("sim_cpu_s", "s", (count, 0), values, KIND), note=note)
 
 
-def replace_note(taken: Sample, **more: str) -> Sample:
+def replace_fields(taken: Sample, **more: str) -> Sample:
     import msgspec
 
     return msgspec.structs.replace(taken, **more)
 
 
-def numbers(context: click.Context, parameter: click.Parameter, text: str) -> list[int]:
+def parse_sizes(context: click.Context, parameter: click.Parameter, text: str) -> list[int]:
     try:
         found = [int(part) for part in text.split(",") if part]
     except ValueError as error:
@@ -523,7 +537,7 @@
 
 
 @click.command()
-@click.option("--gateways", default=SIZES, show_default=True, callback=numbers, help="sizes")
+@click.option("--gateways", default=DEFAULT_SIZES, show_default=True, callback=parse_sizes, help="sizes")
 @click.option("--seconds", default=15.0, show_default=True, help="of simulated time, of a quiet fleet")
 @click.option("--seeds", default=2, show_default=True)
 @click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="only these; as it comes, all")
@@ -531,7 +545,7 @@
 @click.option("--cpu-seconds", default=900.0, show_default=True, help="of one process, at most")
 @click.option("--memory-mb", default=6000, show_default=True, help="of one process, at most")
 @click.option("--before", type=click.Path(path_type=Path, file_okay=False), help="a checkout to be compared")
-@click.option("--cost-sizes", default="50,200,800", show_default=True, callback=numbers)
+@click.option("--cost-sizes", default="50,200,800", show_default=True, callback=parse_sizes)
 @click.option("--to", type=click.Path(path_type=Path), default=Path("docs/capacity/simulated.json"))
 def simulate(
     gateways: list[int],
@@ -549,30 +563,30 @@
     began, machine = time.time(), current_machine()
     samples: list[Sample] = []
     if before is not None:
-        samples += costs(before, cost_sizes, 3, "before, from a start")
-        samples += costs(Path(__file__).parents[2], cost_sizes, 3, "after, from a start")
-    found: dict[tuple[int, int], Found] = {}
+        samples += measure_costs(before, cost_sizes, 3, "before, from a start")
+        samples += measure_costs(Path(__file__).parents[2], cost_sizes, 3, "after, from a start")
+    found: dict[tuple[int, int], JobResults] = {}
 
     def write() -> None:
         taken, said = list(samples), list[str]()
         for count in sorted({count for count, _ in found}):
-            together = Found()
+            together = JobResults()
             for place in sorted(place for place in found if place[0] == count):
-                said += found[place].said
+                said += found[place].problems
                 for key, values in found[place].values.items():
                     together.values.setdefault(key, []).extend(values)
             for (quantity, unit, role, day, note), values in together.values.items():
                 made = sample(quantity, unit, (count, 0), values, KIND)
-                taken.append(replace_note(made, role=role, day=day, note=note))
+                taken.append(replace_fields(made, role=role, day=day, note=note))
         command = "whintrail scale " + " ".join(["simulate", *sys.argv[3:]])
         save_results(to, command, began, machine, taken, "; ".join(said))
 
     bounds = cpu_seconds, memory_mb, parts or PARTS
     todo = [Job(count, seed, seconds, *bounds) for count in gateways for seed in range(1, seeds + 1)]
-    for job, got in spread(todo, jobs):
+    for job, got in run_jobs(todo, jobs):
         found[job.gateways, job.seed] = got
         write()
     write()
-    for line in [line for one in found.values() for line in one.said]:
+    for line in [line for one in found.values() for line in one.problems]:
         click.echo(line, err=True)
     click.echo(f"{to}: {len(found)} plays", err=True)
--- a/whintrail/scale/tables.py
+++ b/whintrail/scale/tables.py
@@ -258,7 +258,7 @@
             if fit.exponent == fit.exponent
             else EMPTY_CELL
         )
-        worst = f"{format_number(100 * zero_if_negligible(fit.worst, 1.0))}%"
+        worst = f"{format_number(100 * zero_if_negligible(fit.worst_residual, 1.0))}%"
         body.append(
             (
                 use.quantity,
@@ -279,16 +279,18 @@
     return ", ".join(word for word in words if word) or "gateway"
 
 
-def rates_table(facts: Sequence[rates.Reckoned], fit_cache: FitCache) -> str:
+def rates_table(facts: Sequence[rates.FactResult], fit_cache: FitCache) -> str:
     head = ("event", "what", "at 4,000 and 15,000", "budget", "holds")
     body = []
     for r in facts:
         fact = r.fact
-        value = value_cell(r.value, r.missing, fact.unit, r.used, fit_cache, fact.value, r.untold)
-        holds = EMPTY_CELL if fact.budget is None or r.value is None else "**no**" if r.passed else "yes"
-        if fact.budget is not None and r.untold:
-            holds = "**no**, there already" if r.passed else INCONCLUSIVE
-        body.append((fact.event, fact.what, value, fact.budget_name or EMPTY_CELL, holds))
+        value = value_cell(
+            r.value, r.missing, fact.unit, r.used_keys, fit_cache, fact.evaluate, r.is_inconclusive
+        )
+        holds = EMPTY_CELL if fact.budget is None or r.value is None else "**no**" if r.is_exceeded else "yes"
+        if fact.budget is not None and r.is_inconclusive:
+            holds = "**no**, there already" if r.is_exceeded else INCONCLUSIVE
+        body.append((fact.event, fact.description, value, fact.budget_name or EMPTY_CELL, holds))
     return markdown_table(head, body)
 
 
@@ -634,10 +636,13 @@
         except capacity.NotMeasured:
             continue
         common = [size for size in old.sizes if size in new.sizes]
-        if not common or not old.at(common[-1])[0] > MIN_IMPROVEMENT_RATIO * new.at(common[-1])[0] > 0:
+        if (
+            not common
+            or not old.estimate_at(common[-1])[0] > MIN_IMPROVEMENT_RATIO * new.estimate_at(common[-1])[0] > 0
+        ):
             continue
         size = f"{common[-1]:,} {use.grows_with}"
-        was, now_is = (format_quantity(fit.at(common[-1])[0], fit.unit) for fit in (old, new))
+        was, now_is = (format_quantity(fit.estimate_at(common[-1])[0], fit.unit) for fit in (old, new))
         body.append([use.quantity, _describe_key(use), size, was, old.form, now_is, new.form])
     if not body:
         return "Nothing was mended between two files of results."
@@ -672,8 +677,10 @@
     samples = samples_to_fit(results)
     figures = FitCache(samples)
     found = [capacity.evaluate_row(row, figures) for row in rows.ROWS]
-    facts = [rates.reckon(fact, figures) for fact in rates.FACTS]
-    uses = dict.fromkeys([use for f in found for use in f.used_keys] + [use for r in facts for use in r.used])
+    facts = [rates.evaluate_fact(fact, figures) for fact in rates.FACTS]
+    uses = dict.fromkeys(
+        [use for f in found for use in f.used_keys] + [use for r in facts for use in r.used_keys]
+    )
     every: dict[str, Callable[[], str]] = {
         "inputs": inputs_table,
         "roles": lambda: roles_table(found, figures, code_locations),
--- a/whintrail/scale/timing.py
+++ b/whintrail/scale/timing.py
@@ -17,17 +17,17 @@
 
 import psutil  # type: ignore[import-untyped]
 
-SPINS_S = 0.4  # to learn how fast the machine is when nothing disturbs it
-LEAST_US = 300.0  # of processor time a figure: below, the clock's own cost would show
-MOST_TIMES = 2000
-T = TypeVar("T")
+CALIBRATION_S = 0.4  # to learn how fast the machine is when nothing disturbs it
+MIN_FIGURE_US = 300.0  # of processor time a figure: below, the clock's own cost would show
+MAX_ITERATIONS = 2000
+ResultT = TypeVar("ResultT")
 
 
 class BoundError(Exception):
     """The time or the memory that was allowed is used up; the text says which, in one line."""
 
 
-def spin() -> int:
+def run_reference_work() -> int:
     """A piece of Python that is always the same."""
     return sum(number * number for number in range(3_000))
 
@@ -36,39 +36,41 @@
 class Bench:
     """`until` by time.monotonic(); memory is the resident memory of this process."""
 
-    until: float
-    memory_mb: float
+    deadline_s: float
+    max_memory_mb: float
     fastest_us: float = math.inf  # that `spin` has taken
-    slow: list[float] = field(default_factory=list)  # each time it ran: how much slower than that
+    slowdowns: list[float] = field(default_factory=list)  # each time it ran: how much slower than that
 
     def __post_init__(self) -> None:
         began = time.monotonic()
-        while time.monotonic() - began < SPINS_S:
-            self.fastest_us = min(self.fastest_us, _took_us(spin, 1))
+        while time.monotonic() - began < CALIBRATION_S:
+            self.fastest_us = min(self.fastest_us, _cpu_time_us(run_reference_work, 1))
 
-    def slower(self) -> float:
+    def measure_slowdown(self) -> float:
         """How many times slower than at its fastest the machine is now."""
-        now_us = min(_took_us(spin, 1), _took_us(spin, 1))  # of two: an interrupt is not the machine's pace
+        now_us = min(
+            _cpu_time_us(run_reference_work, 1), _cpu_time_us(run_reference_work, 1)
+        )  # of two: an interrupt is not the machine's pace
         self.fastest_us = min(self.fastest_us, now_us)
-        self.slow.append(now_us / self.fastest_us)
-        return self.slow[-1]
+        self.slowdowns.append(now_us / self.fastest_us)
+        return self.slowdowns[-1]
 
-    def fair(self, work: Callable[[], float]) -> float:
+    def measure_undisturbed(self, work: Callable[[], float]) -> float:
         """A time that `work` gives, as on an undisturbed core."""
-        before = self.slower()
+        before = self.measure_slowdown()
         took = work()
-        return took / ((before + self.slower()) / 2)
+        return took / ((before + self.measure_slowdown()) / 2)
 
-    def check(self) -> None:
+    def check_bounds(self) -> None:
         """Errors: BoundError."""
-        if time.monotonic() > self.until:
+        if time.monotonic() > self.deadline_s:
             raise BoundError("the time allowed is over")
         held_mb = psutil.Process().memory_info().rss / (1 << 20)
-        if held_mb > self.memory_mb:
-            raise BoundError(f"{held_mb:.0f} MB of memory, {self.memory_mb:.0f} allowed")
+        if held_mb > self.max_memory_mb:
+            raise BoundError(f"{held_mb:.0f} MB of memory, {self.max_memory_mb:.0f} allowed")
 
 
-def cpu_us(
+def measure_cpu_us(
     work: Callable[[], object],
     repeats: int,
     bench: Bench,
@@ -84,34 +86,34 @@
     if before is not None:
         before()
     if not alone:
-        while times < MOST_TIMES and _took_us(work, times) < LEAST_US:
+        while times < MAX_ITERATIONS and _cpu_time_us(work, times) < MIN_FIGURE_US:
             times *= 4
     figures = []
     for _ in range(repeats):
-        bench.check()
+        bench.check_bounds()
         if before is not None:
             before()
-        figures.append(bench.fair(lambda: _took_us(work, times) / times))
+        figures.append(bench.measure_undisturbed(lambda: _cpu_time_us(work, times) / times))
     return figures
 
 
-def _took_us(work: Callable[[], object], times: int) -> float:
+def _cpu_time_us(work: Callable[[], object], iterations: int) -> float:
     began = time.process_time_ns()
-    for _ in range(times):
+    for _ in range(iterations):
         work()
     return (time.process_time_ns() - began) / 1000
 
 
-def held_bytes(make: Callable[[], T]) -> tuple[int, T]:
+def measure_held_bytes(make: Callable[[], ResultT]) -> tuple[int, ResultT]:
     """What `make` made, and how many bytes of Python's memory stay in use for it."""
-    with traced() as now:
+    with trace_allocations() as now:
         before = now()
         made = make()
         return now() - before, made
 
 
 @contextmanager
-def traced() -> Iterator[Callable[[], int]]:
+def trace_allocations() -> Iterator[Callable[[], int]]:
     """Python's allocations are traced meanwhile: gives how many bytes of them are in use, garbage swept."""
 
     def now() -> int:
@@ -126,7 +128,7 @@
 
 
 @contextmanager
-def collector(thresholds: tuple[int, int, int]) -> Iterator[None]:
+def gc_thresholds(thresholds: tuple[int, int, int]) -> Iterator[None]:
     """The garbage collector as a gateway sets it, so that its share of a cost is a gateway's."""
     before = gc.get_threshold()
     gc.collect()
@@ -137,6 +139,6 @@
         gc.set_threshold(*before)
 
 
-def peak_mb() -> float:
+def peak_memory_mb() -> float:
     """The greatest resident memory of this process so far."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
