--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -169,7 +169,7 @@
     def prepare() -> None:
         before[0] += 1
 
-    assert len(measure_cpu_us(work, 4, bench, prepare, alone=True)) == 4
+    assert len(measure_cpu_us(work, 4, bench, prepare, single=True)) == 4
     assert turns[0] == 4
     assert before[0] == 5  # once ahead of all
     assert len(bench.slowdowns) == 8
--- a/whintrail/scale/fits.py
+++ b/whintrail/scale/fits.py
@@ -1,4 +1,4 @@
-"""`whintrail scale fit`: slopes with their errors, from files of results."""
+"""`whintrail scale fit`: fits the quantities in results files and prints slopes with their errors."""
 
 import math
 from pathlib import Path
@@ -17,8 +17,8 @@
 
 
 def fit_rows(samples: list[Sample]) -> list[dict[str, object]]:
-    """A row for each quantity, kind, role, day, subset and note, and each size with which it was varied."""
-    found: list[dict[str, object]] = []
+    """Return a row for each quantity, kind, role, day, subset and note, and each dimension it varies over."""
+    rows: list[dict[str, object]] = []
     keys = dict.fromkeys((s.quantity, s.kind, s.role, s.day, s.subset, s.note) for s in samples)
     for quantity, kind, role, day, subset, note in keys:
         for grows_with in DIMENSIONS:
@@ -36,16 +36,16 @@
             row |= {"exponent": None, "exponent_error": None}
             if not math.isnan(fitted.exponent):
                 row |= {"exponent": fitted.exponent, "exponent_error": fitted.exponent_error}
-            found.append(row)
-    return found
+            rows.append(row)
+    return rows
 
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--quantity", default="", help="Only quantities whose name holds this.")
+@click.option("--quantity", default="", help="Only quantities whose name contains this.")
 @format_option
 def fit_files(files: tuple[Path, ...], quantity: str, form: str) -> None:
-    """Fit every quantity in FILES that was taken at two sizes or more.
+    """Fit every quantity in FILES that was measured at two sizes or more.
 
     \b
     Examples:
--- a/whintrail/scale/fitting.py
+++ b/whintrail/scale/fitting.py
@@ -1,10 +1,10 @@
-"""What a quantity costs as a size grows: a line with its errors, or the name of what it is instead. Pure.
+"""Fits a measured quantity over the fleet size: a line with its errors, or another named form. Pure.
 
-A line is fitted by least squares, each size weighted by the inverse square of its standard error. Costs are
-taken over three decades of sizes, and their scatter between sizes (caches, a busy machine) goes with the
-value: so the error of a size is at least `FLOOR` of its value. The errors count as known up to a common
-factor, which the residuals give (Press et al., "Numerical Recipes", 3rd ed., 15.2). Intervals hold at 95%, by
-Student's t.
+A line is fitted by weighted least squares; the weight of a size is the inverse square of its standard error.
+Costs are measured over three decades of sizes, and their scatter between sizes (caches, a busy machine) is
+proportional to the value, so the error of a size is at least `MIN_RELATIVE_ERROR` of its value. The errors
+are taken as known up to a common factor, which is estimated from the residuals (Press et al., "Numerical
+Recipes", 3rd ed., 15.2). All intervals are 95% intervals by Student's t.
 """
 
 import math
@@ -17,72 +17,74 @@
 
 from whintrail.scale.results import Kind, Sample
 
-MIN_RELATIVE_ERROR = 0.02  # of the value: a size's median is never trusted better
-MAX_RELATIVE_RESIDUAL = 0.15  # of the value: what lies further off the curve at some size is no such curve
-MAX_LOOSE_RESIDUAL = 0.3  # the same for a line of which nothing says that it is another curve
-MIN_EXPONENT_OFFSET = 0.1  # an exponent as near to 0 or 1 names no power
-MIN_QUADRATIC_SHARE = 0.1  # of the line's rise: a quadratic term below it is not spoken of
-MAX_CONSTANT_RISE = 0.05  # of the value: a rise below it over all sizes is none
-MIN_STEP_SHARE = 0.9  # of the whole rise, between two neighbouring sizes: a step
-NORMAL_95TH_PERCENTILE = 1.645  # the 5th and the 95th hundredth lie so many standard deviations off
+MIN_RELATIVE_ERROR = 0.02  # of the value: lower limit of a median's standard error
+MAX_RELATIVE_RESIDUAL = 0.15  # of the value: a form is rejected if any size lies further from its curve
+MAX_LOOSE_RESIDUAL = 0.3  # of the value: for a line, where no other form fits
+MIN_EXPONENT_OFFSET = 0.1  # an exponent closer to 0 or 1 is not reported as a power law
+MIN_QUADRATIC_SHARE = 0.1  # of the line's rise: a smaller quadratic term is ignored
+MAX_CONSTANT_RISE = 0.05  # of the mean value: a smaller rise over all sizes counts as constant
+MIN_STEP_SHARE = 0.9  # of all changes between neighbouring sizes: a single larger one is a step
+NORMAL_95TH_PERCENTILE = 1.645  # in standard deviations from the mean; the 5th is its negative
 MAX_SIZE = 1e9
-# Student's t, 97.5th hundredth, by degrees of freedom from 1 on (e.g. NIST/SEMATECH e-Handbook, 1.3.6.7.2).
+# 97.5th percentile of Student's t, by degrees of freedom from 1 (e.g. NIST/SEMATECH e-Handbook, 1.3.6.7.2).
 STUDENT_T_975 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
     2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
 )  # fmt: skip
 SizeDimension = Literal["engines", "gateways"]
-Curve = Callable[[float], tuple[float, float]]  # size: value, half the interval
+Curve = Callable[[float], tuple[float, float]]  # size to value and half the width of its interval
 FloatArray = NDArray[np.float64]
 
 
 class FitError(ValueError):
-    """There is nothing to fit: no sample of that name, or all at one size."""
+    """The samples can't be fitted: none matches, all have the same size, or their units differ."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """value = intercept + slope x, or `form` where that is no line; what is asked of it follows the form."""
+    """A fitted curve.
+
+    `intercept` and `slope` always describe the fitted line; estimates follow the curve named by `form`.
+    """
 
     quantity: str
     unit: str
     grows_with: SizeDimension
     intercept: float
-    slope: float  # unit a size, of the line whatever the form
+    slope: float  # in `unit` per engine or gateway
     slope_error: float  # one standard error
     exponent: float  # slope of log value over log size; nan where a value is not positive
     exponent_error: float
-    form: (
-        str  # linear, constant, "power P +- E", quadratic, "step between A and B", "no line: ...", and so on
-    )
+    # linear, constant, "power P +- E", quadratic, "step between A and B", "no line: ..." and variants
+    form: str
     sizes: tuple[int, ...]
-    worst_residual: float  # the greatest residual of the line, against the value measured there
-    other_size: int = 0  # the other size at which it was taken
+    worst_residual: float  # greatest residual of the line, relative to the measured value
+    other_size: int = 0  # of the dimension that was kept constant
     curve: Curve = field(repr=False, compare=False, default=lambda x: (math.nan, math.nan))
 
     def estimate_at(self, x: float) -> tuple[float, float, float]:
-        """The value at a size, and the least and greatest that a measurement there would give, at 95%."""
+        """Return the value at a size, and the low and high end of the 95% interval of a measurement there."""
         value, half = self.curve(x)
         return value, value - half, value + half
 
     def size_at(self, budget: float) -> float | None:
-        """The smallest size at which the value reaches the budget; 0: at every size; None: at none."""
+        """Return the smallest size at which the value reaches the budget; 0 for every size, None for none."""
         return self._find_size(budget, 0)
 
     def size_range(self, budget: float) -> tuple[float | None, float | None]:
-        """The same by the upper and by the lower end of the interval: earliest and latest."""
+        """Return the earliest and latest such size, by the upper and the lower end of the interval."""
         return self._find_size(budget, 2), self._find_size(budget, 1)
 
     def _find_size(self, budget: float, bound_index: int) -> float | None:
         grid = np.geomspace(1.0, MAX_SIZE, 400)
-        above = next(
-            (place for place, x in enumerate(grid) if self.estimate_at(float(x))[bound_index] >= budget), None
+        first_above = next(
+            (index for index, x in enumerate(grid) if self.estimate_at(float(x))[bound_index] >= budget), None
         )
-        if above is None:
+        if first_above is None:
             return None
-        if above == 0:
+        if first_above == 0:
             return 0.0
-        low, high = float(grid[above - 1]), float(grid[above])
+        low, high = float(grid[first_above - 1]), float(grid[first_above])
         for _ in range(60):
             middle = (low + high) / 2
             low, high = (low, middle) if self.estimate_at(middle)[bound_index] >= budget else (middle, high)
@@ -90,7 +92,7 @@
 
 
 def student_t(degrees_of_freedom: int) -> float:
-    """Half the width of a 95% interval, in standard errors; with no freedom left, as if they were known."""
+    """Return half the width of a 95% interval in standard errors; that of the normal without any freedom."""
     if degrees_of_freedom < 1:
         return 1.96
     return (
@@ -102,11 +104,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastSquares:
-    """Weighted least squares over columns of a design matrix."""
+    """The solution of a weighted least-squares problem."""
 
     coefficients: FloatArray
     covariance: FloatArray
-    error_scale: float  # of the errors that were given, as the residuals show it
+    error_scale: float  # common factor of the given errors, estimated from the residuals
     degrees_of_freedom: int
 
     def standard_error(self, index: int) -> float:
@@ -114,15 +116,19 @@
 
 
 def solve_least_squares(design: FloatArray, values: FloatArray, errors: FloatArray) -> LeastSquares:
-    weighted, aims = design / errors[:, None], values / errors
-    norms = np.linalg.norm(weighted, axis=0)  # columns of 1 and of 15,000 squared: scaled alike first
-    inverse = np.linalg.pinv(weighted / norms)
-    found = inverse @ aims / norms
-    freedom = len(values) - design.shape[1]
-    left = aims - weighted @ found
-    scale = math.sqrt(float(left @ left) / freedom) if freedom > 0 else 1.0
-    covariance = (inverse @ inverse.T) / np.outer(norms, norms) * scale**2
-    return LeastSquares(found, covariance, scale, freedom)
+    """Fit `values`, each with its standard error, to the columns of a design matrix."""
+    weighted_design, weighted_values = design / errors[:, None], values / errors
+    # Columns differ by orders of magnitude (1 and 15,000 squared), so they are normalized first.
+    norms = np.linalg.norm(weighted_design, axis=0)
+    inverse = np.linalg.pinv(weighted_design / norms)
+    coefficients = inverse @ weighted_values / norms
+    degrees_of_freedom = len(values) - design.shape[1]
+    residuals = weighted_values - weighted_design @ coefficients
+    error_scale = (
+        math.sqrt(float(residuals @ residuals) / degrees_of_freedom) if degrees_of_freedom > 0 else 1.0
+    )
+    covariance = (inverse @ inverse.T) / np.outer(norms, norms) * error_scale**2
+    return LeastSquares(coefficients, covariance, error_scale, degrees_of_freedom)
 
 
 def select_samples(
@@ -136,10 +142,13 @@
     day: str = "steady",
     note: str | None = None,
 ) -> list[Sample]:
-    """The samples at that other size which has the most sizes of this one, of equals the greater. A size of
-    0 says that it bears on nothing: such samples are no part of it."""
+    """Return the samples to fit, sorted by size.
+
+    The other dimension is held constant: of its values, the one measured at the most sizes is chosen, and the
+    greater one of equals. A size of 0 means that the sample does not depend on it; such samples are left out.
+    """
 
-    def other(sample: Sample) -> int:
+    def other_size(sample: Sample) -> int:
         return sample.gateways if grows_with == "engines" else sample.engines
 
     found = [s for s in samples if s.quantity == quantity and s.subset == subset and s.day == day]
@@ -147,15 +156,15 @@
     found = [s for s in found if kind in (None, s.kind) and role in (None, s.role) and note in (None, s.note)]
     sizes: dict[int, set[int]] = {}
     for sample in found:
-        sizes.setdefault(other(sample), set()).add(getattr(sample, grows_with))
+        sizes.setdefault(other_size(sample), set()).add(getattr(sample, grows_with))
     if not sizes:
         raise FitError(f"{quantity}: no sample")
-    most = max(sizes, key=lambda size: (len(sizes[size]), size))
-    kept = [s for s in found if other(s) == most]
-    if len(sizes[most]) < 2:
+    chosen = max(sizes, key=lambda size: (len(sizes[size]), size))
+    kept = [s for s in found if other_size(s) == chosen]
+    if len(sizes[chosen]) < 2:
         raise FitError(f"{quantity}: all samples at one size of {grows_with}")
     if len({s.unit for s in kept}) > 1:
-        raise FitError(f"{quantity}: of several units")
+        raise FitError(f"{quantity}: samples have different units")
     return sorted(kept, key=lambda s: getattr(s, grows_with))
 
 
@@ -170,7 +179,7 @@
     day: str = "steady",
     note: str | None = None,
 ) -> Fit:
-    """Errors: FitError where there are no two sizes."""
+    """Fit a quantity over a dimension. FitError if there are no two sizes."""
     kept = select_samples(
         samples, quantity, grows_with, kind=kind, role=role, subset=subset, day=day, note=note
     )
@@ -178,25 +187,26 @@
     values = np.array([s.value for s in kept], dtype=np.float64)
     spread = np.array([(s.high - s.low) / (2 * NORMAL_95TH_PERCENTILE) for s in kept], dtype=np.float64)
     counts = np.array([max(1, s.n) for s in kept], dtype=np.float64)
-    greatest = float(np.abs(values).max())
-    tiny = max(greatest * 1e-9, 1e-12)
-    # A median's standard error is 1.25 of a mean's. A value of 0 is not known beyond all others.
-    against = np.maximum(np.abs(values), max(greatest * 1e-3, tiny))
-    floor = MIN_RELATIVE_ERROR * against
-    errors = np.maximum(np.hypot(1.25 * spread / np.sqrt(counts), floor), tiny)
-    allowed = np.maximum(MAX_RELATIVE_RESIDUAL, spread / against)
+    max_value = float(np.abs(values).max())
+    tiny = max(max_value * 1e-9, 1e-12)
+    # A median's standard error is 1.25 times that of a mean. The reference value has a lower limit, since a
+    # value of 0 would otherwise have an error of almost 0 and outweigh all others.
+    reference = np.maximum(np.abs(values), max(max_value * 1e-3, tiny))
+    min_errors = MIN_RELATIVE_ERROR * reference
+    errors = np.maximum(np.hypot(1.25 * spread / np.sqrt(counts), min_errors), tiny)
+    allowed = np.maximum(MAX_RELATIVE_RESIDUAL, spread / reference)
 
     ones = np.ones_like(sizes)
     line = solve_least_squares(np.stack([ones, sizes], axis=1), values, errors)
-    relative = np.abs(values - line.coefficients[0] - line.coefficients[1] * sizes) / against
-    noise = float(np.median(errors / against))
+    residuals = np.abs(values - line.coefficients[0] - line.coefficients[1] * sizes) / reference
+    noise = float(np.median(errors / reference))
     power = None
     exponent = exponent_error = math.nan
     if (values > 0).all() and (sizes > 0).all():
         power = solve_least_squares(np.stack([ones, np.log(sizes)], axis=1), np.log(values), errors / values)
         exponent, exponent_error = float(power.coefficients[1]), power.standard_error(1)
 
-    form, curve = _classify(sizes, values, errors, allowed, noise, line, relative, power)
+    form, curve = _classify(sizes, values, errors, allowed, noise, line, residuals, power)
     return Fit(
         quantity=quantity,
         unit=kept[0].unit,
@@ -208,7 +218,7 @@
         exponent_error=exponent_error,
         form=form,
         sizes=tuple(int(size) for size in np.unique(sizes)),
-        worst_residual=float(relative.max()),
+        worst_residual=float(residuals.max()),
         other_size=kept[0].gateways if grows_with == "engines" else kept[0].engines,
         curve=curve,
     )
@@ -221,64 +231,69 @@
     allowed: FloatArray,
     noise: float,
     line: LeastSquares,
-    relative: FloatArray,
+    residuals: FloatArray,
     power: LeastSquares | None,
 ) -> tuple[str, Curve]:
-    """What it is, and the curve that follows from it. The plainest that holds: a constant, a line, a power, a
-    line with a square, a step."""
-    straight = _polynomial_curve(line, noise)
+    """Name the simplest form that fits and return its curve.
+
+    The forms are tried in this order: constant, line, power, quadratic, step.
+    """
+    line_curve = _polynomial_curve(line, noise)
     rise = abs(float(line.coefficients[1])) * float(sizes.max() - sizes.min())
-    distinct = len(np.unique(sizes))
+    size_count = len(np.unique(sizes))
     mean = float(np.abs(values).mean())
-    rises = abs(float(line.coefficients[1])) > student_t(line.degrees_of_freedom) * line.standard_error(1)
-    if bool((relative <= allowed).all()) and rise <= MAX_CONSTANT_RISE * mean and rises:
-        return "constant", straight  # but for a little that is sure
+    is_rising = abs(float(line.coefficients[1])) > student_t(line.degrees_of_freedom) * line.standard_error(1)
+    if bool((residuals <= allowed).all()) and rise <= MAX_CONSTANT_RISE * mean and is_rising:
+        return "constant", line_curve  # the slope is significant but small
     flat = solve_least_squares(np.ones((len(sizes), 1)), values, errors)
-    level = float(flat.coefficients[0])
+    mean_level = float(flat.coefficients[0])
     if (
-        not rises
+        not is_rising
         and rise <= MAX_LOOSE_RESIDUAL * mean
-        and bool((np.abs(values - level) <= allowed * abs(level)).all())
+        and bool((np.abs(values - mean_level) <= allowed * abs(mean_level)).all())
     ):
-        return "constant", _polynomial_curve(
-            flat, noise
-        )  # further out a slope that may be none would say much
-    bent = None
-    if distinct >= 4:
-        bent = solve_least_squares(np.stack([np.ones_like(sizes), sizes, sizes**2], axis=1), values, errors)
-        square = float(bent.coefficients[2]) * float(sizes.max()) ** 2
-        sure = abs(float(bent.coefficients[2])) > student_t(bent.degrees_of_freedom) * bent.standard_error(2)
-        if not sure or abs(square) <= MIN_QUADRATIC_SHARE * rise:
-            bent = None
-    if bool((relative <= allowed).all()) and bent is None:
-        return "linear" if distinct > 2 else "linear, of two sizes", straight
-    away = (
+        # An insignificant slope would dominate the estimate when extrapolated, so it is dropped.
+        return "constant", _polynomial_curve(flat, noise)
+    quadratic = None
+    if size_count >= 4:
+        quadratic = solve_least_squares(
+            np.stack([np.ones_like(sizes), sizes, sizes**2], axis=1), values, errors
+        )
+        quadratic_rise = float(quadratic.coefficients[2]) * float(sizes.max()) ** 2
+        is_significant = abs(float(quadratic.coefficients[2])) > student_t(
+            quadratic.degrees_of_freedom
+        ) * quadratic.standard_error(2)
+        if not is_significant or abs(quadratic_rise) <= MIN_QUADRATIC_SHARE * rise:
+            quadratic = None
+    if bool((residuals <= allowed).all()) and quadratic is None:
+        return "linear" if size_count > 2 else "linear, of two sizes", line_curve
+    exponent_offset = (
         min(abs(float(power.coefficients[1])), abs(float(power.coefficients[1]) - 1))
         if power is not None
         else 0.0
     )
-    if power is not None and away > max(MIN_EXPONENT_OFFSET, 2 * power.standard_error(1)):
+    if power is not None and exponent_offset > max(MIN_EXPONENT_OFFSET, 2 * power.standard_error(1)):
         curve = _power_curve(power, noise)
-        off = np.array([abs(curve(float(x))[0] / y - 1) for x, y in zip(sizes, values, strict=True)])
-        if bool((off <= allowed).all()):
+        deviations = np.array([abs(curve(float(x))[0] / y - 1) for x, y in zip(sizes, values, strict=True)])
+        if bool((deviations <= allowed).all()):
             return f"power {power.coefficients[1]:.2f} +- {power.standard_error(1):.2f}", curve
-    if bent is not None:
-        curve = _polynomial_curve(bent, noise)
-        off = np.array([abs(curve(float(x))[0] - y) for x, y in zip(sizes, values, strict=True)])
-        if bool((off <= allowed * np.abs(values)).all()):
+    if quadratic is not None:
+        curve = _polynomial_curve(quadratic, noise)
+        deviations = np.array([abs(curve(float(x))[0] - y) for x, y in zip(sizes, values, strict=True)])
+        if bool((deviations <= allowed * np.abs(values)).all()):
             return "quadratic", curve
     levels = np.array([float(np.median(values[sizes == x])) for x in np.unique(sizes)])
     jumps = np.abs(np.diff(levels))
     largest = int(jumps.argmax())
-    if distinct >= 4 and jumps[largest] >= MIN_STEP_SHARE * float(jumps.sum()):
+    if size_count >= 4 and jumps[largest] >= MIN_STEP_SHARE * float(jumps.sum()):
         low, high = (int(x) for x in np.unique(sizes)[largest : largest + 2])
         return f"step between {low} and {high}", _interpolated_curve(
-            np.unique(sizes), levels, float(relative.max())
+            np.unique(sizes), levels, float(residuals.max())
         )
-    bound = float(relative.max())
+    bound = float(residuals.max())
     if bound <= MAX_LOOSE_RESIDUAL:
-        if rises or rise > MAX_LOOSE_RESIDUAL * mean:
-            return f"linear, within {bound:.0%}", straight
+        if is_rising or rise > MAX_LOOSE_RESIDUAL * mean:
+            return f"linear, within {bound:.0%}", line_curve
         return f"constant, within {bound:.0%}", _polynomial_curve(flat, noise)
     return f"no line: off by up to {bound:.0%}", _interpolated_curve(np.unique(sizes), levels, bound)
 
@@ -287,9 +302,9 @@
     def curve(x: float) -> tuple[float, float]:
         row = np.array([x**power for power in range(len(squares.coefficients))], dtype=np.float64)
         value = float(row @ squares.coefficients)
-        own = noise * squares.error_scale * abs(value)  # what a measurement there would scatter by itself
+        own_scatter = noise * squares.error_scale * abs(value)  # the scatter of a single measurement
         half = student_t(squares.degrees_of_freedom) * math.sqrt(
-            max(0.0, float(row @ squares.covariance @ row)) + own**2
+            max(0.0, float(row @ squares.covariance @ row)) + own_scatter**2
         )
         return value, half
 
@@ -309,7 +324,10 @@
 
 
 def _interpolated_curve(sizes: FloatArray, levels: FloatArray, bound: float) -> Curve:
-    """Straight from size to size, and on from the last two; as uncertain as the line was wrong."""
+    """Interpolate linearly between sizes and extrapolate from the last two.
+
+    The interval is the relative bound that the line's residuals gave.
+    """
 
     def curve(x: float) -> tuple[float, float]:
         value = float(np.interp(x, sizes, levels))
--- a/whintrail/scale/slopes_routing.py
+++ b/whintrail/scale/slopes_routing.py
@@ -158,13 +158,13 @@
     def due() -> None:
         alone.advance(WEIGHT_REFRESH_INTERVAL_US, refresh=True)
 
-    yield took("module_refresh_unused_us", alone.policy._refresh_weights, before=due, alone=True)
+    yield took("module_refresh_unused_us", alone.policy._refresh_weights, before=due, single=True)
     for _ in range(max(1, min(MAX_OPEN_QUERIES, int(OPEN_QUERIES_PER_ENGINE * kept)))):
         alone.submit_query()
         alone.advance(min(MAX_QUERY_INTERVAL_US, ENGINE_QUERY_INTERVAL_US // kept))
 
     rounds = measure_cpu_us(
-        alone.run_sweeps, max(5, repeats // 2), bench, before=alone.finish_round, alone=True
+        alone.run_sweeps, max(5, repeats // 2), bench, before=alone.finish_round, single=True
     )
     yield sample("module_sweep_us", "us", sizes, [figure / SWEEPS_PER_ROUND for figure in rounds], "core")
 
@@ -182,7 +182,7 @@
             alone.finish_query(*latest.pop())
         stale()
 
-    yield took("module_query_us", arrive, before=clear, alone=True)
+    yield took("module_query_us", arrive, before=clear, single=True)
 
     def choose() -> object:
         return alone.policy._choose_engine(alone.policy.queries[latest[-1][0]], None)
@@ -191,8 +191,8 @@
         clear()
         latest.append(alone.submit_query())
 
-    yield took("module_choose_us", choose, before=arrived, alone=True)
-    yield took("module_ended_us", lambda: alone.finish_query(*latest[-1]), before=arrived, alone=True)
+    yield took("module_choose_us", choose, before=arrived, single=True)
+    yield took("module_ended_us", lambda: alone.finish_query(*latest[-1]), before=arrived, single=True)
 
     states, one = ["leaving", "active"], deployment.engine_names().index(min(alone.policy.engines))
     entries = [
@@ -201,7 +201,7 @@
     deltas = iter(range(1 << 60))
     yield took("module_list_delta_us", lambda: alone.apply_list(entries[next(deltas) % 2]))
     whole = deployment.engine_list()
-    yield took("module_list_whole_us", lambda: alone.apply_list(whole), alone=True)
+    yield took("module_list_whole_us", lambda: alone.apply_list(whole), single=True)
     told = [
         probe_reports.encode(
             [probe_reports.ProbeReport(probe_reports.engine_key(name), 0, api.LoadReport(0.3, 4.0), 8.0)]
@@ -222,9 +222,9 @@
     if expected_refresh_s < MAX_REFRESH_S:
         alone.advance(0)  # a list's event has the next refresh forget how engines fared
         alone.draw_latency_ratios()
-        first = measure_cpu_us(alone.policy._refresh_weights, 1, bench, before=due, alone=True)[0]
+        first = measure_cpu_us(alone.policy._refresh_weights, 1, bench, before=due, single=True)[0]
         fewer = max(3, min(repeats, int(5e6 / max(1.0, first))))
-        figures = measure_cpu_us(alone.policy._refresh_weights, fewer, bench, before=due, alone=True)
+        figures = measure_cpu_us(alone.policy._refresh_weights, fewer, bench, before=due, single=True)
         yield sample("module_refresh_us", "us", sizes, figures, "core")
 
 
@@ -237,7 +237,7 @@
 
     line = deployment.full_list_line()
     yield sample("list_line_bytes", "bytes", sizes, [float(len(line))], "core")
-    yield took("list_read_whole_us", lambda: read_list_update(orjson.loads(line), log, False), alone=True)
+    yield took("list_read_whole_us", lambda: read_list_update(orjson.loads(line), log, False), single=True)
     delta = deployment.encode_line(2, [deployment.list_item(0, "leaving")], False)
     yield took("list_read_delta_us", lambda: read_list_update(orjson.loads(delta), log, False))
     yield from asyncio.run(_measure_list_updates(deployment, repeats, bench, line, delta))
--- a/whintrail/scale/slopes_versions.py
+++ b/whintrail/scale/slopes_versions.py
@@ -1,4 +1,4 @@
-"""What a change of the agreed settings weighs, on the wire and in the log; what a size leaves to each."""
+"""Measures the bytes of a change of the agreed settings, in the log and on the wire."""
 
 from collections.abc import Iterator
 
@@ -14,13 +14,15 @@
 from whintrail.versions.rules import MAX_RULES_BYTES, Rules, canonicalize, digest, encode
 from whintrail.versions.store import PIECE_BYTES
 
-SHUT_SHARE = 0.01  # of the engines, in the body that is weighed
-LOG_INDEX, TERM = 100_000, 40  # how far the log may be
+SHUT_SHARE = 0.01  # of the engines, in the measured body
+# Large, as encoded numbers grow with their value.
+LOG_INDEX = 100_000
+TERM = 40
 REASON = "a change that an operator wanted"
 
 
 def measure_changes(deployment: Deployment) -> Iterator[Sample]:
-    """Bytes of one change: its three entries in the log, and told to one gateway as the leader tells them."""
+    """Measure the bytes of one change: its three log entries, and their datagrams to one gateway."""
     sizes = deployment.gateways, 0
     number = deployment.gateways
     proposed = Entry(LOG_INDEX, TERM, ProposeVersion(LOG_INDEX, 1 << 62, number, REASON, 1 << 41))
@@ -29,34 +31,38 @@
         Entry(LOG_INDEX + 1, TERM, EnterVersion(LOG_INDEX)),
         Entry(LOG_INDEX + 2, TERM, SettleVersion(LOG_INDEX)),
     ]
-    held = sum(len(msgspec.msgpack.encode(entry)) for entry in entries)
-    yield sample("log_bytes", "bytes", sizes, [float(held)], "core")
-    told = [CommittedEntries(1 << 40, entry.index - 1, 1 << 31, number, (entry,)) for entry in entries]
-    wire = sum(REBROADCASTS * (datagram_size(message) + DATAGRAM_HEADER_BYTES) for message in told)
-    yield sample("log_told_bytes", "bytes", sizes, [float(wire)], "core")
+    log_bytes = sum(len(msgspec.msgpack.encode(entry)) for entry in entries)
+    yield sample("log_bytes", "bytes", sizes, [float(log_bytes)], "core")
+    messages = [CommittedEntries(1 << 40, entry.index - 1, 1 << 31, number, (entry,)) for entry in entries]
+    wire_bytes = sum(REBROADCASTS * (datagram_size(message) + DATAGRAM_HEADER_BYTES) for message in messages)
+    yield sample("log_told_bytes", "bytes", sizes, [float(wire_bytes)], "core")
 
 
 def measure_bodies(deployment: Deployment) -> Iterator[Sample]:
-    """A version's body with a hundredth of the engines shut, and what fetching it costs one gateway. Nothing
-    where it is longer than a body may be."""
+    """Measure a version's body with a hundredth of the engines shut, and the bytes of fetching it.
+
+    The bytes of fetching are left out where the body is longer than allowed.
+    """
     sizes = deployment.gateways, deployment.engines
     shut = tuple(deployment.engine_names()[:: int(1 / SHUT_SHARE)])
-    data = msgspec.msgpack.encode(
+    encoded = msgspec.msgpack.encode(
         canonicalize(Rules(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900}))
     )
-    yield sample("version_body_bytes", "bytes", sizes, [float(len(data))], "core")
-    if len(data) > MAX_RULES_BYTES:
+    yield sample("version_body_bytes", "bytes", sizes, [float(len(encoded))], "core")
+    if len(encoded) > MAX_RULES_BYTES:
         return
     body = encode(Rules(shut=shut, caps={"report": 40}, wait_ms={"lookup": 900}))
-    key, parts = digest(body), -(-len(body) // PIECE_BYTES)
-    wire = 0
-    for part in range(parts):
-        piece = BodyChunk(key, part, parts, body[part * PIECE_BYTES : (part + 1) * PIECE_BYTES])
-        wire += datagram_size(BodyRequest(key, part)) + datagram_size(piece) + 2 * DATAGRAM_HEADER_BYTES
-    yield sample("version_body_fetch_bytes", "bytes", sizes, [float(wire)], "core")
+    key, piece_count = digest(body), -(-len(body) // PIECE_BYTES)
+    wire_bytes = 0
+    for index in range(piece_count):
+        piece = BodyChunk(key, index, piece_count, body[index * PIECE_BYTES : (index + 1) * PIECE_BYTES])
+        wire_bytes += (
+            datagram_size(BodyRequest(key, index)) + datagram_size(piece) + 2 * DATAGRAM_HEADER_BYTES
+        )
+    yield sample("version_body_fetch_bytes", "bytes", sizes, [float(wire_bytes)], "core")
 
 
 def work_share_sample(deployment: Deployment) -> Sample:
-    """The part of a cold engine's budget that one gateway may use at its start."""
+    """Return the share of a cold engine's initial capacity that one gateway may use."""
     share = RoutingPolicy(deployment.settings(), 1, 0).work_share
     return sample("cold_part", "share", (deployment.gateways, 0), [share], "core")
--- a/whintrail/scale/timing.py
+++ b/whintrail/scale/timing.py
@@ -1,8 +1,8 @@
-"""Processor time and memory of one piece of work, and the bounds within which a measurement stays.
+"""Measures processor time and memory of a piece of work, within bounds on the measurement itself.
 
-Two threads of a core that run at once slow each other by a half, and other programs come and go. So a fixed
-piece of work, `spin`, runs right before and after each figure, and the figure is divided by how much slower
-than at its fastest that was: it is what the work takes on a core that nobody else uses.
+Two hardware threads of a core slow each other by a half when both are busy, and other programs come and go.
+So a fixed reference workload runs right before and after each figure, and the figure is divided by the
+slowdown of that workload relative to its fastest run. The result is the time on an otherwise idle core.
 """
 
 import gc
@@ -17,54 +17,56 @@
 
 import psutil  # type: ignore[import-untyped]
 
-CALIBRATION_S = 0.4  # to learn how fast the machine is when nothing disturbs it
-MIN_FIGURE_US = 300.0  # of processor time a figure: below, the clock's own cost would show
+CALIBRATION_S = 0.4  # to find the fastest run of the reference workload
+MIN_FIGURE_US = 300.0  # of processor time per figure; below, reading the clock would distort it
 MAX_ITERATIONS = 2000
 ResultT = TypeVar("ResultT")
 
 
 class BoundError(Exception):
-    """The time or the memory that was allowed is used up; the text says which, in one line."""
+    """The allowed time or memory is used up; the one-line text says which."""
 
 
 def run_reference_work() -> int:
-    """A piece of Python that is always the same."""
+    """Run a fixed piece of Python as a reference for the speed of the machine."""
     return sum(number * number for number in range(3_000))
 
 
 @dataclass(slots=True)
 class Bench:
-    """`until` by time.monotonic(); memory is the resident memory of this process."""
+    """Bounds of a measurement and the speed of the machine.
+
+    `deadline_s` is by time.monotonic(); memory is the resident memory of this process.
+    """
 
     deadline_s: float
     max_memory_mb: float
-    fastest_us: float = math.inf  # that `spin` has taken
-    slowdowns: list[float] = field(default_factory=list)  # each time it ran: how much slower than that
+    fastest_us: float = math.inf  # of the reference workload
+    slowdowns: list[float] = field(default_factory=list)  # of each run, relative to the fastest
 
     def __post_init__(self) -> None:
-        began = time.monotonic()
-        while time.monotonic() - began < CALIBRATION_S:
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < CALIBRATION_S:
             self.fastest_us = min(self.fastest_us, _cpu_time_us(run_reference_work, 1))
 
     def measure_slowdown(self) -> float:
-        """How many times slower than at its fastest the machine is now."""
-        now_us = min(
-            _cpu_time_us(run_reference_work, 1), _cpu_time_us(run_reference_work, 1)
-        )  # of two: an interrupt is not the machine's pace
+        """Return how many times slower than at its fastest the machine is now."""
+        # The better of two runs, as an interrupt may hit one.
+        now_us = min(_cpu_time_us(run_reference_work, 1), _cpu_time_us(run_reference_work, 1))
         self.fastest_us = min(self.fastest_us, now_us)
         self.slowdowns.append(now_us / self.fastest_us)
         return self.slowdowns[-1]
 
     def measure_undisturbed(self, work: Callable[[], float]) -> float:
-        """A time that `work` gives, as on an undisturbed core."""
-        before = self.measure_slowdown()
-        took = work()
-        return took / ((before + self.measure_slowdown()) / 2)
+        """Return the time that `work` returns, corrected to that on an undisturbed core."""
+        slowdown_before = self.measure_slowdown()
+        duration = work()
+        return duration / ((slowdown_before + self.measure_slowdown()) / 2)
 
     def check_bounds(self) -> None:
-        """Errors: BoundError."""
+        """Raise BoundError if the time or the memory is used up."""
         if time.monotonic() > self.deadline_s:
-            raise BoundError("the time allowed is over")
+            raise BoundError("the allowed time is over")
         held_mb = psutil.Process().memory_info().rss / (1 << 20)
         if held_mb > self.max_memory_mb:
             raise BoundError(f"{held_mb:.0f} MB of memory, {self.max_memory_mb:.0f} allowed")
@@ -75,70 +77,71 @@
     repeats: int,
     bench: Bench,
     before: Callable[[], object] | None = None,
-    alone: bool = False,
+    single: bool = False,
 ) -> list[float]:
-    """Microseconds of this process's processor time that `work` takes, so many figures.
+    """Measure the processor time of `work` in microseconds, `repeats` times.
 
-    Each figure is the mean over as many turns as make it long against the clock's own cost; `before` runs
-    ahead of each figure and does not count. `alone`: one turn a figure, where each needs what `before` does.
+    Each figure is the mean over enough iterations to make the cost of reading the clock negligible; `before`
+    runs ahead of each figure and does not count. `single`: one iteration per figure, for work that needs
+    `before` ahead of each.
     """
-    times = 1
+    iterations = 1
     if before is not None:
         before()
-    if not alone:
-        while times < MAX_ITERATIONS and _cpu_time_us(work, times) < MIN_FIGURE_US:
-            times *= 4
+    if not single:
+        while iterations < MAX_ITERATIONS and _cpu_time_us(work, iterations) < MIN_FIGURE_US:
+            iterations *= 4
     figures = []
     for _ in range(repeats):
         bench.check_bounds()
         if before is not None:
             before()
-        figures.append(bench.measure_undisturbed(lambda: _cpu_time_us(work, times) / times))
+        figures.append(bench.measure_undisturbed(lambda: _cpu_time_us(work, iterations) / iterations))
     return figures
 
 
 def _cpu_time_us(work: Callable[[], object], iterations: int) -> float:
-    began = time.process_time_ns()
+    started_ns = time.process_time_ns()
     for _ in range(iterations):
         work()
-    return (time.process_time_ns() - began) / 1000
+    return (time.process_time_ns() - started_ns) / 1000
 
 
 def measure_held_bytes(make: Callable[[], ResultT]) -> tuple[int, ResultT]:
-    """What `make` made, and how many bytes of Python's memory stay in use for it."""
-    with trace_allocations() as now:
-        before = now()
+    """Return the bytes of Python's memory that the result of `make` holds, and the result."""
+    with trace_allocations() as bytes_in_use:
+        before = bytes_in_use()
         made = make()
-        return now() - before, made
+        return bytes_in_use() - before, made
 
 
 @contextmanager
 def trace_allocations() -> Iterator[Callable[[], int]]:
-    """Python's allocations are traced meanwhile: gives how many bytes of them are in use, garbage swept."""
+    """Trace Python's allocations; yields a function that collects garbage and returns the bytes in use."""
 
-    def now() -> int:
+    def bytes_in_use() -> int:
         gc.collect()
         return tracemalloc.get_traced_memory()[0]
 
     tracemalloc.start()
     try:
-        yield now
+        yield bytes_in_use
     finally:
         tracemalloc.stop()
 
 
 @contextmanager
 def gc_thresholds(thresholds: tuple[int, int, int]) -> Iterator[None]:
-    """The garbage collector as a gateway sets it, so that its share of a cost is a gateway's."""
-    before = gc.get_threshold()
+    """Set the garbage collector's thresholds as a gateway does, so that its share of a cost is the same."""
+    previous = gc.get_threshold()
     gc.collect()
     gc.set_threshold(*thresholds)
     try:
         yield
     finally:
-        gc.set_threshold(*before)
+        gc.set_threshold(*previous)
 
 
 def peak_memory_mb() -> float:
-    """The greatest resident memory of this process so far."""
+    """Return the greatest resident memory of this process so far."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
