--- a/whintrail/scale/slopes.py
+++ b/whintrail/scale/slopes.py
@@ -1,4 +1,4 @@
-"""`whintrail scale slopes`: what the cores cost alone, at several sizes each, by processor time."""
+"""`whintrail scale slopes`: measures what one core of a gateway costs at several fleet sizes."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -20,12 +20,14 @@
 PARTS = ("versions", "module", "list", "memos", "members", "nodes")
 DEFAULT_ENGINES = "20,80,200,800,2000,5000,15000"
 DEFAULT_GATEWAYS = "20,50,200,800,2000,4000"
-DEFAULT_PLAYED_ENGINES, DEFAULT_PLAYED_GATEWAYS = "20,40,80,200,400", "10,20,50,100,200"
+DEFAULT_PLAYED_ENGINES = "20,40,80,200,400"
+DEFAULT_PLAYED_GATEWAYS = "10,20,50,100,200"
+MIN_SIZE = 5
 REFRESH_QUANTITY = "module_refresh_us"
 
 
 class SizeList(click.ParamType[tuple[int, ...]]):
-    """Sizes between commas."""
+    """A comma-separated list of fleet sizes."""
 
     name = "sizes"
 
@@ -33,34 +35,34 @@
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[int, ...]:
         try:
-            found = tuple(sorted({int(part) for part in str(value).split(",")}))
+            sizes = tuple(sorted({int(part) for part in str(value).split(",")}))
         except ValueError:
-            self.fail(f"{value}: whole numbers between commas are wanted", param, ctx)
-        if found[0] < 5:
-            self.fail(f"{found[0]}: 5 at least", param, ctx)
-        return found
+            self.fail(f"{value}: not a comma-separated list of whole numbers", param, ctx)
+        if sizes[0] < MIN_SIZE:
+            self.fail(f"{sizes[0]}: less than {MIN_SIZE}", param, ctx)
+        return sizes
 
 
 def merge_rounds(samples: list[Sample]) -> list[Sample]:
-    """One sample a quantity, size and role: the median of the rounds', between the least and the greatest."""
-    found: dict[tuple[object, ...], list[Sample]] = {}
-    for one in samples:
-        key = one.quantity, one.gateways, one.engines, one.role, one.subset, one.note
-        found.setdefault(key, []).append(one)
+    """Merge the rounds into one sample per quantity, size and role: their median, minimum and maximum."""
+    by_key: dict[tuple[object, ...], list[Sample]] = {}
+    for sample in samples:
+        key = sample.quantity, sample.gateways, sample.engines, sample.role, sample.subset, sample.note
+        by_key.setdefault(key, []).append(sample)
     return [
         replace(
             rounds[0],
-            value=median(one.value for one in rounds),
-            low=min(one.low for one in rounds),
-            high=max(one.high for one in rounds),
-            n=sum(one.n for one in rounds),
+            value=median(sample.value for sample in rounds),
+            low=min(sample.low for sample in rounds),
+            high=max(sample.high for sample in rounds),
+            n=sum(sample.n for sample in rounds),
         )
-        for rounds in found.values()
+        for rounds in by_key.values()
     ]
 
 
 class SlopesRun:
-    """Goes through the parts, the small sizes first, and keeps what it has when its bounds end it."""
+    """Measures the parts, small sizes first. When a bound ends it, `samples` holds what was measured."""
 
     def __init__(self, bench: Bench, repeats: int, log: Callable[[str], None], subset_size: int = 0) -> None:
         self.bench, self.repeats, self.log, self.subset_size = bench, repeats, log, subset_size
@@ -68,15 +70,15 @@
         self.samples: list[Sample] = []
 
     def collect(self, label: str, samples: Iterator[Sample]) -> list[Sample]:
-        began, before = time.monotonic(), len(self.samples)
-        for one in samples:
-            self.samples.append(one)
+        started_at, first = time.monotonic(), len(self.samples)
+        for sample in samples:
+            self.samples.append(sample)
             self.bench.check_bounds()
-        self.log(f"{label}: {len(self.samples) - before} quantities, {time.monotonic() - began:.1f} s")
-        return self.samples[before:]
+        self.log(f"{label}: {len(self.samples) - first} quantities, {time.monotonic() - started_at:.1f} s")
+        return self.samples[first:]
 
     def measure_engines(self, sizes: tuple[int, ...], gateway_count: int, parts: tuple[str, ...]) -> None:
-        refresh_s, last = 0.0, 0
+        refresh_s, last_size = 0.0, 0
         for size in sizes:
             deployment = Deployment(gateway_count, size)
             if "versions" in parts:
@@ -84,15 +86,21 @@
             if "list" in parts:
                 self.collect(f"list, {size} engines", self._measure_list(deployment))
             if "module" in parts:
-                if last:
-                    refresh_s *= (size / last) ** 2  # at worst: it has been seen to grow with the square
-                keep: slopes_routing.ListFilter = slopes_routing.keep_all
+                if last_size:
+                    refresh_s *= (size / last_size) ** 2  # at worst; the growth observed at most is quadratic
+                list_filter: slopes_routing.ListFilter = slopes_routing.keep_all
                 if self.subset_size:
-                    keep = SubsetAssignment(SubsetPlan(self.subset_size), deployment.settings()).apply_list
-                found = slopes_routing.measure_policy(deployment, self.repeats, self.bench, keep, refresh_s)
-                taken = self.collect(f"module, {size} engines", found)
-                times = [one.value / 1e6 for one in taken if one.quantity == REFRESH_QUANTITY]
-                refresh_s, last = (times[0] if times else refresh_s), size
+                    list_filter = SubsetAssignment(
+                        SubsetPlan(self.subset_size), deployment.settings()
+                    ).apply_list
+                figures = slopes_routing.measure_policy(
+                    deployment, self.repeats, self.bench, list_filter, refresh_s
+                )
+                measured = self.collect(f"module, {size} engines", figures)
+                refresh_times_s = [
+                    sample.value / 1e6 for sample in measured if sample.quantity == REFRESH_QUANTITY
+                ]
+                refresh_s, last_size = (refresh_times_s[0] if refresh_times_s else refresh_s), size
 
     def _measure_list(self, deployment: Deployment) -> Iterator[Sample]:
         yield slopes_routing.shared_keys_sample(deployment)
@@ -105,23 +113,23 @@
                 self.collect(f"changes, {size} gateways", slopes_versions.measure_changes(deployment))
                 self.samples.append(slopes_versions.work_share_sample(deployment))
             if "members" in parts:
-                found = slopes_fleet.measure_membership(deployment, self.repeats, self.bench)
-                self.collect(f"members, {size} gateways", found)
+                figures = slopes_fleet.measure_membership(deployment, self.repeats, self.bench)
+                self.collect(f"members, {size} gateways", figures)
             if "nodes" in parts:
-                found = slopes_fleet.measure_nodes(deployment, self.repeats, self.bench)
-                self.collect(f"nodes, {size} gateways", found)
+                figures = slopes_fleet.measure_nodes(deployment, self.repeats, self.bench)
+                self.collect(f"nodes, {size} gateways", figures)
 
     def measure_probe_reports(self, engines: tuple[int, ...], gateways: tuple[int, ...], rate: float) -> None:
         middle_engines, middle_gateways = engines[len(engines) // 2], gateways[len(gateways) // 2]
         pairs = [(middle_gateways, size) for size in engines]
         pairs += [(size, middle_engines) for size in gateways if size != middle_gateways]
-        if self.subset_size:  # both in step: one gateway's part and its holders stay as they are
+        if self.subset_size:  # scaled in step, so that the subset of a gateway and its holders stay the same
             pairs = list(zip(gateways, engines, strict=True))
-        for fleet, size in pairs:
-            found = slopes_probe_reports.measure_probe_reports(
-                Deployment(fleet, size), rate, 1, self.bench, self.subset_size, self.batch_us
+        for gateway_count, engine_count in pairs:
+            figures = slopes_probe_reports.measure_probe_reports(
+                Deployment(gateway_count, engine_count), rate, 1, self.bench, self.subset_size, self.batch_us
             )
-            self.collect(f"memos, {fleet} gateways, {size} engines", found)
+            self.collect(f"memos, {gateway_count} gateways, {engine_count} engines", figures)
 
 
 @click.command()
@@ -130,22 +138,24 @@
 )
 @click.option("--engines", type=SizeList(), default=DEFAULT_ENGINES, show_default=True)
 @click.option("--gateways", type=SizeList(), default=DEFAULT_GATEWAYS, show_default=True)
-@click.option("--fleet", default=200, show_default=True, help="Gateways where engines are varied.")
+@click.option("--fleet", default=200, show_default=True, help="Gateways, where engines are varied.")
 @click.option("--played-engines", type=SizeList(), default=DEFAULT_PLAYED_ENGINES, show_default=True)
 @click.option("--played-gateways", type=SizeList(), default=DEFAULT_PLAYED_GATEWAYS, show_default=True)
-@click.option("--rate", default=20.0, show_default=True, help="Queries a second, a gateway that is played.")
-@click.option("--subset", default=0, show_default=True, help="Engines that a gateway keeps; 0: all.")
+@click.option("--rate", default=20.0, show_default=True, help="Queries per second at each simulated gateway.")
+@click.option("--subset", default=0, show_default=True, help="Engines in a gateway's subset; 0: all.")
 @click.option(
     "--batch-ms",
     default=BATCH_INTERVAL_US // 1000,
     show_default=True,
-    help="With --subset: memos wait so long.",
+    help="With --subset: how long probe reports wait for others.",
 )
 @click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="Only this; may be repeated.")
 @click.option("--repeats", type=click.IntRange(3), default=15, show_default=True)
-@click.option("--rounds", type=click.IntRange(1), default=3, show_default=True, help="Over all sizes.")
-@click.option("--seconds", default=1500.0, show_default=True, help="It ends by itself after so long.")
-@click.option("--memory-mb", default=2048.0, show_default=True, help="And when it holds more than this.")
+@click.option("--rounds", type=click.IntRange(1), default=3, show_default=True, help="Passes over all sizes.")
+@click.option("--seconds", default=1500.0, show_default=True, help="The run ends after this time.")
+@click.option(
+    "--memory-mb", default=2048.0, show_default=True, help="The run ends above this resident memory."
+)
 def slopes(
     to: Path,
     engines: tuple[int, ...],
@@ -162,7 +172,7 @@
     seconds: float,
     memory_mb: float,
 ) -> None:
-    """Measure the cores alone: the decision module, the list, memos, membership, a fleet's nodes.
+    """Measure one core alone: routing policy, engine list, probe reports, membership, fleet nodes.
 
     \b
     Times are processor time of this one process. Nothing is sent; no address is connected to.
@@ -172,41 +182,44 @@
         --played-gateways 100,200,400 --played-engines 375,750,1500 --to docs/capacity/slopes-subset.json
     """
     if subset and len(played_engines) != len(played_gateways):
-        raise click.UsageError("with --subset, as many --played-engines as --played-gateways are wanted")
-    began, machine = time.time(), current_machine()
+        raise click.UsageError("--subset needs as many --played-engines as --played-gateways")
+    started_at, machine = time.time(), current_machine()
     run = SlopesRun(
         Bench(time.monotonic() + seconds, memory_mb), repeats, lambda text: click.echo(text, err=True), subset
     )
     run.batch_us = batch_ms * 1000
-    wanted, ended = parts or PARTS, ""
+    selected, end_reason = parts or PARTS, ""
     try:
         with gc_thresholds(Limits.read({}).gc_thresholds):
-            if "memos" in wanted:  # counts in simulated time: a busy machine is none of theirs
+            if "memos" in selected:  # once: counts in simulated time don't depend on the machine's load
                 run.measure_probe_reports(played_engines, played_gateways, rate)
-            for turn in range(rounds):
-                run.log(f"round {turn + 1} of {rounds}")
-                run.measure_gateways(gateways, wanted)
-                run.measure_engines(engines, fleet, wanted)
+            for round_index in range(rounds):
+                run.log(f"round {round_index + 1} of {rounds}")
+                run.measure_gateways(gateways, selected)
+                run.measure_engines(engines, fleet, selected)
     except BoundError as error:
-        ended = f"ended before its time, what is missing was not run: {error}"
+        end_reason = f"ended before its time, what is missing was not run: {error}"
     except KeyboardInterrupt:
-        ended = "ended by hand, what is missing was not run"
-    slow = sorted(run.bench.slowdowns) or [1.0]
+        end_reason = "ended by hand, what is missing was not run"
+    slowdowns = sorted(run.bench.slowdowns) or [1.0]
     note = "times are as on an undisturbed core: a fixed piece of work around each was "
-    note += f"{slow[len(slow) // 2]:.2f} times slower than at its fastest (median of {len(slow)}; at most "
-    note += f"{slow[-1]:.2f}). {ended}"
+    note += f"{slowdowns[len(slowdowns) // 2]:.2f} times slower than at its fastest "
+    note += f"(median of {len(slowdowns)}; at most "
+    note += f"{slowdowns[-1]:.2f}). {end_reason}"
     context = click.get_current_context()
-    given = {"engines": engines, "gateways": gateways, "fleet": fleet, "parts": wanted}
-    given |= {"repeats": repeats, "rounds": rounds, "subset": subset, "batch-ms": batch_ms}
-    given |= {"played-engines": played_engines, "played-gateways": played_gateways, "rate": rate}
-    typed = [f"--{name} {_format_value(value)}" for name, value in given.items()]
-    samples = [replace(one, subset=subset) for one in merge_rounds(run.samples)]
-    save_results(to, " ".join([context.command_path, *typed]), began, machine, samples, note.strip())
+    options = {"engines": engines, "gateways": gateways, "fleet": fleet, "parts": selected}
+    options |= {"repeats": repeats, "rounds": rounds, "subset": subset, "batch-ms": batch_ms}
+    options |= {"played-engines": played_engines, "played-gateways": played_gateways, "rate": rate}
+    option_texts = [f"--{name} {_format_value(value)}" for name, value in options.items()]
+    samples = [replace(sample, subset=subset) for sample in merge_rounds(run.samples)]
+    save_results(
+        to, " ".join([context.command_path, *option_texts]), started_at, machine, samples, note.strip()
+    )
     click.echo(
         f"{len(merge_rounds(run.samples))} samples to {to}, {peak_memory_mb():.0f} MB at most", err=True
     )
-    if ended:
-        raise click.ClickException(ended)
+    if end_reason:
+        raise click.ClickException(end_reason)
 
 
 def _format_value(value: object) -> str:
