--- a/whintrail/scale/rates.py
+++ b/whintrail/scale/rates.py
@@ -1,5 +1,7 @@
-"""Rates of change worked through at a size: what each day or fault brings, and the budget it is held against.
-Pure. What each side may do then is prose: docs/CAPACITY.md."""
+"""Evaluates what the daily changes and the faults of a fleet mean at a size, each against its budget. Pure.
+
+What each side may do when a budget is exceeded is described in docs/CAPACITY.md.
+"""
 
 import math
 from collections.abc import Callable
@@ -17,7 +19,7 @@
     is_extrapolated,
     target_size,
 )
-from whintrail.scale.inputs import input_value as given
+from whintrail.scale.inputs import input_value
 from whintrail.scale.rows import (
     CHANGE_BROADCAST_BYTES,
     CHANGES_PER_S,
@@ -28,12 +30,14 @@
     REBROADCASTS_PER_ENTRY,
 )
 
-CHANGE_INTERVAL_S = 1 / CHANGES_PER_S  # seconds from one change to the next, in the mean
+CHANGE_INTERVAL_S = 1 / CHANGES_PER_S  # mean
 DAY_S = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
+    """One value to evaluate for an event, with its budget if there is one."""
+
     key: str
     event: str
     description: str
@@ -45,27 +49,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FactResult:
+    """The value of a fact at a size."""
+
     fact: Fact
     value: Estimate | None
-    missing: str
+    missing: str  # the quantity that was not measured; empty if none
     used_keys: tuple[MeasurementKey, ...] = ()
-    at_largest_measured: tuple[Estimate, tuple[float, float]] | None = (
-        None  # at the greatest size of what it rests on
-    )
-    is_extrapolated: bool = False  # the sizes at which what it rests on was taken
+    at_largest_measured: tuple[Estimate, tuple[float, float]] | None = None  # the value there, and the size
+    is_extrapolated: bool = False  # the size is larger than those measured
 
     @property
     def is_inconclusive(self) -> bool:
-        """Beyond the sizes taken, and its range tells nothing."""
+        """Whether it is extrapolated and its range is too wide to conclude anything."""
         return self.value is not None and self.is_extrapolated and self.value.is_wide
 
     @property
     def is_exceeded(self) -> bool:
+        """Whether the value is over the budget; if inconclusive, that at the largest measured size."""
         budget = self.fact.budget
         if self.value is None or budget is None:
             return False
         if self.is_inconclusive and self.at_largest_measured is not None:
-            return self.at_largest_measured[0].value > budget  # there already
+            return self.at_largest_measured[0].value > budget
         return self.value.value > budget
 
 
@@ -85,74 +90,75 @@
         return FactResult(fact, None, str(error), tuple(at.used_keys))
 
 
-def _change_in_force(s: EvaluationPoint) -> Estimate:
-    return s.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another")
+def _change_in_force(point: EvaluationPoint) -> Estimate:
+    return point.estimate("version_in_force_s", "gateways", kind="simulated", note="one after another")
 
 
-def _change_in_force_p99(s: EvaluationPoint) -> Estimate:
-    return s.estimate(
+def _change_in_force_p99(point: EvaluationPoint) -> Estimate:
+    return point.estimate(
         "version_in_force_s", "gateways", kind="simulated", note="one after another", stat="high"
     )
 
 
-def _changes_left_over(s: EvaluationPoint) -> Estimate:
-    """Changes of a day that are not made by its end; of a longer time, more."""
-    one = _change_in_force(s)
-    made = [min(given("changes_a_day"), DAY_S / max(1e-9, t)) for t in (one.value, one.high, one.low)]
-    left = [given("changes_a_day") - m for m in made]
-    return Estimate(left[0], min(left), math.inf if one.is_wide else max(left))
-
-
-def _last_burst_change(s: EvaluationPoint) -> Estimate:
-    """How long the burst's last change waits and takes, where they go one after another."""
-    changes = given("burst") * CHANGES_PER_S * given("burst_s")
-    one = _change_in_force(s)
-    wait = [max(t, changes * t - given("burst_s")) for t in (one.value, one.low, one.high)]
+def _changes_left_over(point: EvaluationPoint) -> Estimate:
+    """Return the changes of a day that are not done by its end, if made one after another."""
+    in_force = _change_in_force(point)
+    done = [
+        min(input_value("changes_a_day"), DAY_S / max(1e-9, t))
+        for t in (in_force.value, in_force.high, in_force.low)
+    ]
+    remaining = [input_value("changes_a_day") - m for m in done]
+    return Estimate(remaining[0], min(remaining), math.inf if in_force.is_wide else max(remaining))
+
+
+def _last_burst_change(point: EvaluationPoint) -> Estimate:
+    """Return how long the last change of the burst takes with its wait, if made one after another."""
+    changes = input_value("burst") * CHANGES_PER_S * input_value("burst_s")
+    in_force = _change_in_force(point)
+    wait = [
+        max(t, changes * t - input_value("burst_s")) for t in (in_force.value, in_force.low, in_force.high)
+    ]
     return Estimate(*wait)
 
 
-def _newcomer_datagrams(s: EvaluationPoint) -> Estimate:
-    return s.estimate("state_newcomer_datagrams", "gateways", kind="simulated", day="losses") * (
-        s.gateways / given("regions")
+def _newcomer_datagrams(point: EvaluationPoint) -> Estimate:
+    return point.estimate("state_newcomer_datagrams", "gateways", kind="simulated", day="losses") * (
+        point.gateways / input_value("regions")
     )
 
 
-def _engine_shut(s: EvaluationPoint) -> Estimate:
-    heard = s.estimate("list_apply_s", "gateways", kind="hollow", day="changes", stat="high")
-    return heard + exact(given("silent_s"))
+def _engine_shut(point: EvaluationPoint) -> Estimate:
+    list_applied = point.estimate("list_apply_s", "gateways", kind="hollow", day="changes", stat="high")
+    return list_applied + exact(input_value("silent_s"))
 
 
 def _list_events_stall(
     event_count: Callable[[EvaluationPoint], float],
 ) -> Callable[[EvaluationPoint], Estimate]:
-    return lambda s: s.estimate("module_list_delta_us", "engines") * (event_count(s) / 1e6)
+    return lambda point: point.estimate("module_list_delta_us", "engines") * (event_count(point) / 1e6)
 
 
-def _removal_known(s: EvaluationPoint) -> Estimate:
-    return s.estimate("removal_known_s", "gateways", kind="simulated", day="losses")
+def _removal_known(point: EvaluationPoint) -> Estimate:
+    return point.estimate("removal_known_s", "gateways", kind="simulated", day="losses")
 
 
-def _max_gateways_out(s: EvaluationPoint) -> float:
-    return given("out_share") * s.gateways
+def _max_gateways_out(point: EvaluationPoint) -> float:
+    return input_value("out_share") * point.gateways
 
 
-REGION_COUNT, ZONE_COUNT = given("regions"), given("zones")
-MISSED_CHANGES = CHANGES_PER_S * given("cut_s")
-MEAN_RATE, BURST, REGION_BACK = (
-    "64,000 changes a day",
-    "a burst of ten times the mean",
-    "a region back after an hour",
-)
-PRIMARY_CHANGES, RESTARTS, RACK_LOST = (
-    "26 changes of primary a day",
-    "1,800 restarts, 21 failures a day",
-    "a rack: 40 at once",
-)
-ZONE_LOST, REGIONS_SPLIT, CONTROL_MACHINE_LOST = (
-    "a zone",
-    "two regions apart for an hour",
-    "a control machine killed or stopped",
-)
+REGION_COUNT = input_value("regions")
+ZONE_COUNT = input_value("zones")
+MISSED_CHANGES = CHANGES_PER_S * input_value("cut_s")
+# Events.
+MEAN_RATE = "64,000 changes a day"
+BURST = "a burst of ten times the mean"
+REGION_BACK = "a region back after an hour"
+PRIMARY_CHANGES = "26 changes of primary a day"
+RESTARTS = "1,800 restarts, 21 failures a day"
+RACK_LOST = "a rack: 40 at once"
+ZONE_LOST = "a zone"
+REGIONS_SPLIT = "two regions apart for an hour"
+CONTROL_MACHINE_LOST = "a control machine killed or stopped"
 
 FACTS: tuple[Fact, ...] = (
     Fact(
@@ -170,7 +176,7 @@
         MEAN_RATE,
         "round trips of one change alone, the leader in the farthest region",
         "s",
-        lambda s: exact(given("change_round_trips") * given("rtt_region_s")),
+        lambda point: exact(input_value("change_round_trips") * input_value("rtt_region_s")),
         IN_FORCE_BUDGET_S,
         "3 s",
     ),
@@ -179,7 +185,7 @@
         MEAN_RATE,
         "the same inside a region",
         "s",
-        lambda s: exact(given("change_round_trips") * given("rtt_zone_s")),
+        lambda point: exact(input_value("change_round_trips") * input_value("rtt_zone_s")),
         IN_FORCE_BUDGET_S,
         "3 s",
     ),
@@ -191,21 +197,21 @@
         MEAN_RATE,
         "datagrams out of the leader for one",
         "count",
-        lambda s: exact(ENTRIES_PER_CHANGE * REBROADCASTS_PER_ENTRY * s.gateways),
+        lambda point: exact(ENTRIES_PER_CHANGE * REBROADCASTS_PER_ENTRY * point.gateways),
     ),
     Fact(
         "mean_bytes",
         MEAN_RATE,
-        "bytes at a gateway for one, told three times",
+        "bytes at a gateway for one, sent three times",
         "bytes",
-        lambda s: exact(CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY),
+        lambda point: exact(CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY),
     ),
     Fact(
         "burst_changes",
         BURST,
         "changes in its ten minutes",
         "count",
-        lambda s: exact(given("burst") * CHANGES_PER_S * given("burst_s")),
+        lambda point: exact(input_value("burst") * CHANGES_PER_S * input_value("burst_s")),
     ),
     Fact(
         "burst_last",
@@ -219,28 +225,30 @@
     Fact(
         "burst_bytes",
         BURST,
-        "bytes at a gateway, if the pace were held",
+        "bytes at a gateway, if the rate were sustained",
         "bytes/s",
-        lambda s: exact(CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY * CHANGES_PER_S * given("burst")),
-        given("control_bytes_per_s"),
+        lambda point: exact(
+            CHANGE_BROADCAST_BYTES * REBROADCASTS_PER_ENTRY * CHANGES_PER_S * input_value("burst")
+        ),
+        input_value("control_bytes_per_s"),
         "4 KB/s",
     ),
-    Fact("back_missed", REGION_BACK, "changes that it missed", "count", lambda s: exact(MISSED_CHANGES)),
+    Fact("back_missed", REGION_BACK, "changes that it missed", "count", lambda point: exact(MISSED_CHANGES)),
     Fact(
         "back_entries",
         REGION_BACK,
-        "entries of the log that it missed",
+        "log entries that it missed",
         "count",
-        lambda s: exact(MISSED_CHANGES * ENTRIES_PER_CHANGE),
-        given("entries_kept"),
-        "the 128 that are kept; past them the whole state",
+        lambda point: exact(MISSED_CHANGES * ENTRIES_PER_CHANGE),
+        input_value("entries_kept"),
+        "the 128 that are kept; beyond them the whole state",
     ),
     Fact(
         "back_gateways",
         REGION_BACK,
         "gateways that need it",
         "count",
-        lambda s: exact(s.gateways / REGION_COUNT),
+        lambda point: exact(point.gateways / REGION_COUNT),
     ),
     Fact(
         "back_datagrams", REGION_BACK, "datagrams of the state to all of them", "count", _newcomer_datagrams
@@ -250,7 +258,7 @@
         REGION_BACK,
         "until one holds the state",
         "s",
-        lambda s: s.estimate("state_newcomer_s", "gateways", kind="simulated", day="losses"),
+        lambda point: point.estimate("state_newcomer_s", "gateways", kind="simulated", day="losses"),
         IN_FORCE_BUDGET_S,
         "3 s",
     ),
@@ -259,7 +267,7 @@
         PRIMARY_CHANGES,
         "from one to the next, mean",
         "s",
-        lambda s: exact(1 / daily_rate_per_s("primary_changes_a_day")),
+        lambda point: exact(1 / daily_rate_per_s("primary_changes_a_day")),
     ),
     Fact(
         "primary_shut",
@@ -284,30 +292,30 @@
         PRIMARY_CHANGES,
         "a council's leader: election and T, at most",
         "s",
-        lambda s: exact(given("election_s") + given("stated_s")),
+        lambda point: exact(input_value("election_s") + input_value("stated_s")),
         PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
         "primary_events",
         PRIMARY_CHANGES,
-        "list events told for one, to all: leaving, then ready",
+        "list events sent for one, to all: leaving, then ready",
         "count",
-        lambda s: exact(2 * s.gateways),
+        lambda point: exact(2 * point.gateways),
     ),
     Fact(
         "restart_apart",
         RESTARTS,
         "from one restart to the next, mean",
         "s",
-        lambda s: exact(1 / daily_rate_per_s("restarts_a_day")),
+        lambda point: exact(1 / daily_rate_per_s("restarts_a_day")),
     ),
     Fact(
         "restart_slot",
         RESTARTS,
         "a slot granted, one at a time",
         "s",
-        lambda s: s.estimate("slot_s", "gateways", kind="simulated"),
+        lambda point: point.estimate("slot_s", "gateways", kind="simulated"),
         1 / daily_rate_per_s("restarts_a_day"),
         "one is due each 48 s",
     ),
@@ -316,8 +324,10 @@
         RESTARTS,
         "out by a slot at a time, mean",
         "count",
-        lambda s: exact(daily_rate_per_s("restarts_a_day") * (given("restart_s") + given("proven_s"))),
-        given("slots_most"),
+        lambda point: exact(
+            daily_rate_per_s("restarts_a_day") * (input_value("restart_s") + input_value("proven_s"))
+        ),
+        input_value("slots_most"),
         "128 slots",
     ),
     Fact(
@@ -325,23 +335,23 @@
         RESTARTS,
         "all gateways, one slot after another",
         "s",
-        lambda s: s.estimate("slot_s", "gateways", kind="simulated") * s.gateways,
+        lambda point: point.estimate("slot_s", "gateways", kind="simulated") * point.gateways,
     ),
     Fact(
         "failure_days",
         RESTARTS,
-        "days until failures that nobody gives up stop all restarts",
+        "days until failures that are not given up stop all restarts",
         "days",
-        lambda s: exact(_max_gateways_out(s) / given("failures_a_day")),
+        lambda point: exact(_max_gateways_out(point) / input_value("failures_a_day")),
     ),
     Fact("rack_known", RACK_LOST, "gateways gone, known to nine in ten", "s", _removal_known),
     Fact(
         "rack_stand",
         RACK_LOST,
-        "engines gone, 40 list events in a row: a gateway stands",
+        "engines gone, 40 list events in a row: a gateway stalls for",
         "s",
-        _list_events_stall(lambda s: given("rack")),
-        given("answer_slack_ms") / 1e3,
+        _list_events_stall(lambda point: input_value("rack")),
+        input_value("answer_slack_ms") / 1e3,
         "the slack of a final answer",
     ),
     Fact(
@@ -349,8 +359,8 @@
         RACK_LOST,
         "out in the rack's zone, a tenth of it allowed",
         "count",
-        lambda s: exact(given("rack")),
-        given("out_zone_share") * target_size()[0] / ZONE_COUNT,
+        lambda point: exact(input_value("rack")),
+        input_value("out_zone_share") * target_size()[0] / ZONE_COUNT,
         "21: no restart in that zone until they are back",
     ),
     Fact(
@@ -358,33 +368,33 @@
         ZONE_LOST,
         "gateways gone",
         "count",
-        lambda s: exact(s.gateways / ZONE_COUNT),
-        given("out_share") * target_size()[0],
+        lambda point: exact(point.gateways / ZONE_COUNT),
+        input_value("out_share") * target_size()[0],
         "200 out: no restart anywhere until they are back or given up",
     ),
-    Fact("zone_engines", ZONE_LOST, "engines gone", "count", lambda s: exact(s.engines / ZONE_COUNT)),
+    Fact("zone_engines", ZONE_LOST, "engines gone", "count", lambda point: exact(point.engines / ZONE_COUNT)),
     Fact(
         "zone_load",
         ZONE_LOST,
         "more load on each of the rest",
         "share",
-        lambda s: exact(1 / (ZONE_COUNT - 1)),
+        lambda point: exact(1 / (ZONE_COUNT - 1)),
     ),
     Fact(
         "zone_clients",
         ZONE_LOST,
-        "clients that connect anew, a gateway left",
+        "clients that reconnect, per remaining gateway",
         "count",
-        lambda s: exact(CLIENTS_PER_GATEWAY / (ZONE_COUNT - 1)),
+        lambda point: exact(CLIENTS_PER_GATEWAY / (ZONE_COUNT - 1)),
     ),
     Fact("zone_known", ZONE_LOST, "gateways gone, known to nine in ten", "s", _removal_known),
     Fact(
         "zone_stand",
         ZONE_LOST,
-        "a list event for each engine: a gateway stands",
+        "a list event for each engine: a gateway stalls for",
         "s",
-        _list_events_stall(lambda s: s.engines / ZONE_COUNT),
-        given("answer_slack_ms") / 1e3,
+        _list_events_stall(lambda point: point.engines / ZONE_COUNT),
+        input_value("answer_slack_ms") / 1e3,
         "the slack of a final answer",
     ),
     Fact(
@@ -392,8 +402,8 @@
         REGIONS_SPLIT,
         "gateways without a lease, cut from the leader alone",
         "count",
-        lambda s: exact(s.gateways / REGION_COUNT),
-        given("out_share") * target_size()[0],
+        lambda point: exact(point.gateways / REGION_COUNT),
+        input_value("out_share") * target_size()[0],
         "200 out: no restart anywhere for the hour",
     ),
     Fact(
@@ -401,33 +411,33 @@
         REGIONS_SPLIT,
         "until they act on the stricter of two, at most",
         "s",
-        lambda s: exact(given("stated_s")),
+        lambda point: exact(input_value("stated_s")),
         IN_FORCE_BUDGET_S,
         "3 s",
     ),
     Fact(
         "apart_dropped",
         REGIONS_SPLIT,
-        "changes that can not be made: each drops for want of their word",
+        "changes that can't be made: each is dropped without their confirmation",
         "count",
-        lambda s: exact(MISSED_CHANGES),
+        lambda point: exact(MISSED_CHANGES),
         0.0,
         "none",
     ),
     Fact(
         "carrier_s",
         CONTROL_MACHINE_LOST,
-        "a leader anew: election and T, at most",
+        "a new leader: election and T, at most",
         "s",
-        lambda s: exact(given("election_s") + given("stated_s")),
+        lambda point: exact(input_value("election_s") + input_value("stated_s")),
         PRIMARY_CHANGE_BUDGET_S,
         "5 s",
     ),
     Fact(
         "carrier_leases",
         CONTROL_MACHINE_LOST,
-        "a lease outlives it by, at most",
+        "a lease outlives it by at most",
         "s",
-        lambda s: exact(given("lease_s")),
+        lambda point: exact(input_value("lease_s")),
     ),
 )
