--- a/tests/test_scale_fitting.py
+++ b/tests/test_scale_fitting.py
@@ -1,4 +1,4 @@
-"""Fits: lines are found again, what is no line is named, intervals hold as often as they say."""
+"""Fits: lines are recovered, other forms are named, and intervals cover at their stated rate."""
 
 import math
 from collections.abc import Callable
@@ -39,26 +39,26 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 def test_a_power_is_named_with_its_exponent(exponent: float, factor: float) -> None:
     found = fit(samples(lambda x: factor * x**exponent), "cost_us", "engines")
-    word, named = found.form.split()[:2]  # to two digits, either way where it lies between
-    assert word == "power"
-    assert abs(float(named) - exponent) <= 0.005 + 1e-9
+    form_name, exponent_text = found.form.split()[:2]  # rounded to two digits
+    assert form_name == "power"
+    assert abs(float(exponent_text) - exponent) <= 0.005 + 1e-9
     assert found.exponent == pytest.approx(exponent, rel=1e-6)
     assert found.estimate_at(30_000)[0] == pytest.approx(factor * 30_000**exponent, rel=1e-6)
 
 
 def test_other_forms_than_a_line_are_named() -> None:
-    def named(value: Callable[[int], float]) -> str:
+    def fitted_form(value: Callable[[int], float]) -> str:
         return fit(samples(value), "cost_us", "engines").form
 
-    assert named(lambda x: 7.0) == "constant"
-    assert named(lambda x: 5 + 3 * x) == "linear"
-    assert named(lambda x: 30 * x + 0.01 * x**2) == "quadratic"
-    assert named(lambda x: 1.0 if x < 1000 else 50.0) == "step between 800 and 3000"
-    assert named(lambda x: 1.0 if x % 800 else 50.0).startswith("no line")
+    assert fitted_form(lambda x: 7.0) == "constant"
+    assert fitted_form(lambda x: 5 + 3 * x) == "linear"
+    assert fitted_form(lambda x: 30 * x + 0.01 * x**2) == "quadratic"
+    assert fitted_form(lambda x: 1.0 if x < 1000 else 50.0) == "step between 800 and 3000"
+    assert fitted_form(lambda x: 1.0 if x % 800 else 50.0).startswith("no line")
 
 
 def test_an_insignificant_slope_is_not_extrapolated() -> None:
-    """Scatter about one level: far out it is still that level, and the interval is no wider."""
+    """With scatter around one level, an extrapolation stays at that level with the same interval."""
     scatter = dict(zip(SIZES[:5], (100.0, 97.0, 102.0, 99.0, 104.0), strict=True))
     found = fit(samples(lambda x: scatter[x], SIZES[:5]), "cost_us", "engines")
     assert found.form == "constant"
@@ -81,33 +81,36 @@
 
 
 def test_intervals_cover_noise_at_their_stated_rate() -> None:
-    """Of 400 lines with a noise of 5%, the slope and a further measurement lie within 95% intervals, but for
-    the chance of the draw (three standard deviations of a share of 400)."""
-    random, slopes, values, runs = Random(5), 0, 0, 400
-    slack = 3 * math.sqrt(0.95 * 0.05 / runs)
+    """With 400 lines with a noise of 5%, slopes and further measurements lie within their 95% intervals.
+
+    The tolerance is three standard deviations of a share of 400.
+    """
+    random, slopes_covered, values_covered, runs = Random(5), 0, 0, 400
+    tolerance = 3 * math.sqrt(0.95 * 0.05 / runs)
     for _ in range(runs):
         noisy = {x: (40 + 2 * x) * random.gauss(1, 0.05) for x in SIZES}
         found = fit(samples(lambda x, noisy=noisy: noisy[x]), "cost_us", "engines")  # type: ignore[misc]
-        slopes += abs(found.slope - 2) <= 2.571 * found.slope_error  # Student's t, five degrees of freedom
+        # Student's t with five degrees of freedom.
+        slopes_covered += abs(found.slope - 2) <= 2.571 * found.slope_error
         further = (40 + 2 * 4000) * random.gauss(1, 0.05)
         _, low, high = found.estimate_at(4000)
-        values += low <= further <= high
-    assert abs(slopes / runs - 0.95) <= slack
-    assert abs(values / runs - 0.95) <= slack
+        values_covered += low <= further <= high
+    assert abs(slopes_covered / runs - 0.95) <= tolerance
+    assert abs(values_covered / runs - 0.95) <= tolerance
 
 
 @given(st.floats(0, 100), st.floats(0.01, 100), st.floats(1.5, 1000))
 @settings(max_examples=40, deadline=None, derandomize=True)
-def test_size_at_a_budget_is_where_the_line_crosses_it(intercept: float, slope: float, times: float) -> None:
+def test_size_at_a_budget_is_where_the_line_crosses_it(intercept: float, slope: float, ratio: float) -> None:
     found = fit(samples(lambda x: intercept + slope * x), "cost_us", "engines")
-    budget = (intercept + slope) * times
+    budget = (intercept + slope) * ratio
     size = found.size_at(budget)
     assert size is not None
     assert found.estimate_at(size)[0] == pytest.approx(budget, rel=1e-3)
-    early, late = found.size_range(budget)
-    assert early is not None
-    assert early <= size + 1e-3 * size
-    assert late is None or late >= size - 1e-3 * size
+    earliest, latest = found.size_range(budget)
+    assert earliest is not None
+    assert earliest <= size + 1e-3 * size
+    assert latest is None or latest >= size - 1e-3 * size
 
 
 def test_a_budget_reached_at_no_size_and_one_reached_at_every_size() -> None:
@@ -133,10 +136,10 @@
 def test_the_command_prints_a_row_per_quantity_and_rejects_invalid_files(tmp_path: Path) -> None:
     path = tmp_path / "some.json"
     save_results(path, "a command", 0.0, current_machine(), samples(lambda x: 5 + 3 * x), "")
-    found = CliRunner().invoke(root, ["scale", "fit", str(path)])
-    assert found.exit_code == 0
-    assert "cost_us" in found.output
-    assert "linear" in found.output
+    result = CliRunner().invoke(root, ["scale", "fit", str(path)])
+    assert result.exit_code == 0
+    assert "cost_us" in result.output
+    assert "linear" in result.output
     (tmp_path / "bad.json").write_text("{}")
-    found = CliRunner().invoke(root, ["scale", "fit", str(tmp_path / "bad.json")])
-    assert found.exit_code == 1
+    result = CliRunner().invoke(root, ["scale", "fit", str(tmp_path / "bad.json")])
+    assert result.exit_code == 1
--- a/tests/test_scale_simulate.py
+++ b/tests/test_scale_simulate.py
@@ -1,4 +1,4 @@
-"""The command that plays whole fleets in simulated time: its figures, and that its bounds end it."""
+"""The command that simulates whole fleets: its results, and that its bounds end it."""
 
 from pathlib import Path
 
@@ -9,21 +9,21 @@
 
 
 def run(to: Path, *more: str) -> str:
-    given = ["--gateways", "12", "--seeds", "1", "--seconds", "2", "--jobs", "1", "--to", str(to), *more]
-    done = CliRunner().invoke(simulate, given)
-    assert done.exit_code == 0, done.output
-    return done.output
+    args = ["--gateways", "12", "--seeds", "1", "--seconds", "2", "--jobs", "1", "--to", str(to), *more]
+    result = CliRunner().invoke(simulate, args)
+    assert result.exit_code == 0, result.output
+    return result.output
 
 
 def test_a_small_fleet_is_simulated_and_its_results_are_saved(tmp_path: Path) -> None:
     run(tmp_path / "a.json", "--part", "quiet", "--part", "changes")
     results = load_results(tmp_path / "a.json")
-    found = {(s.quantity, s.role): s.value for s in results.samples}
+    values = {(s.quantity, s.role): s.value for s in results.samples}
     assert results.note == ""
     assert all(s.kind == "simulated" and s.gateways == 12 for s in results.samples)
-    assert 200 < found["member_bytes_per_s", "gateway"] < found["member_bytes_per_s", "leader"]
-    assert 0 < found["version_in_force_s", "gateway"] < 1.5
-    assert found["false_removals", "gateway"] == 0
+    assert 200 < values["member_bytes_per_s", "gateway"] < values["member_bytes_per_s", "leader"]
+    assert 0 < values["version_in_force_s", "gateway"] < 1.5
+    assert values["false_removals", "gateway"] == 0
 
 
 def test_a_cpu_or_memory_bound_ends_the_run_with_one_line(tmp_path: Path) -> None:
@@ -34,5 +34,5 @@
 
 
 def test_sizes_with_no_member_outside_the_council_are_rejected() -> None:
-    done = CliRunner().invoke(simulate, ["--gateways", "5"])
-    assert done.exit_code == 2
+    result = CliRunner().invoke(simulate, ["--gateways", "5"])
+    assert result.exit_code == 2
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -1,6 +1,7 @@
-"""The cores measured alone: every quantity comes, in its unit, and bounds end a measurement by themselves.
+"""The slope measurements: every quantity is present in its unit, and bounds end a measurement.
 
-No verdict rests on a time: what is checked of times is that they are positive."""
+Times depend on the machine and are only checked to be positive.
+"""
 
 import time
 from dataclasses import replace
@@ -49,19 +50,19 @@
 @pytest.fixture(scope="module")
 def slope_samples(tmp_path_factory: pytest.TempPathFactory) -> list[Sample]:
     path = tmp_path_factory.mktemp("slopes") / "slopes.json"
-    found = CliRunner().invoke(root, ["scale", "slopes", *SMALL_RUN, "--seconds", "60", "--to", str(path)])
-    assert found.exit_code == 0, found.output
+    result = CliRunner().invoke(root, ["scale", "slopes", *SMALL_RUN, "--seconds", "60", "--to", str(path)])
+    assert result.exit_code == 0, result.output
     return load_results(path).samples
 
 
 def test_small_run_has_every_quantity_with_its_unit_and_a_positive_value(slope_samples: list[Sample]) -> None:
-    wanted = {name: unit for unit, names in UNITS.items() for name in names.split()}
-    assert {one.quantity: one.unit for one in slope_samples} == wanted
-    for one in slope_samples:
-        assert one.low <= one.value <= one.high
-        assert one.value >= 0 if one.quantity in MAY_BE_ZERO else one.value > 0, one
-        assert one.unit != "share" or one.value <= 1, one
-        assert one.kind == "core"
+    expected = {name: unit for unit, names in UNITS.items() for name in names.split()}
+    assert {sample.quantity: sample.unit for sample in slope_samples} == expected
+    for sample in slope_samples:
+        assert sample.low <= sample.value <= sample.high
+        assert sample.value >= 0 if sample.quantity in MAY_BE_ZERO else sample.value > 0, sample
+        assert sample.unit != "share" or sample.value <= 1, sample
+        assert sample.kind == "core"
 
 
 def test_each_quantity_is_measured_at_both_sizes_and_for_both_roles(slope_samples: list[Sample]) -> None:
@@ -74,33 +75,35 @@
 
 
 def test_counts_match_what_the_real_components_send(slope_samples: list[Sample]) -> None:
-    """Of counts, what must hold whatever the machine: the line's length, keys, leases, a part of 1/n."""
+    """Counts that don't depend on the machine: line length, work share of 1/n, leases, report bytes."""
     value = {(s.quantity, s.role, s.gateways, s.engines): s.value for s in slope_samples}
     assert value["list_line_bytes", "gateway", 200, 60] == len(Deployment(200, 60).full_list_line())
     assert value["cold_part", "gateway", 16, 0] == 1 / 16
-    assert value["leader_lease_answered", "leader", 16, 0] == 1.0  # few enough for what it may send
-    asks = value["lease_asks_per_s", "gateway", 16, 0]
-    assert 2.0 <= asks <= 3.0  # a third of a lease of 1.2 s apart, by turns
-    memos = value["memo_datagrams_per_s", "gateway", 5, 20]
-    one = probe_reports.HEADER.size + probe_reports.ENTRY.size + DATAGRAM_HEADER_BYTES
-    assert value["memo_bytes_per_s", "gateway", 5, 20] == pytest.approx(memos * one)
+    assert value["leader_lease_answered", "leader", 16, 0] == 1.0  # below the leader's send limits
+    requests_per_s = value["lease_asks_per_s", "gateway", 16, 0]
+    assert 2.0 <= requests_per_s <= 3.0  # a third of a lease of 1.2 s apart, in steps of a tick
+    datagrams_per_s = value["memo_datagrams_per_s", "gateway", 5, 20]
+    datagram_bytes = probe_reports.HEADER.size + probe_reports.ENTRY.size + DATAGRAM_HEADER_BYTES
+    assert value["memo_bytes_per_s", "gateway", 5, 20] == pytest.approx(datagrams_per_s * datagram_bytes)
 
 
 def test_with_a_subset_the_policy_holds_fewer_engines_and_samples_name_the_subset(
     slope_samples: list[Sample], tmp_path: Path
 ) -> None:
     path = tmp_path / "part.json"
-    given = ["--subset", "8", "--fleet", "40", "--engines", "60,120", "--repeats", "3", "--rounds", "1"]
-    given += ["--played-engines", "20,40", "--played-gateways", "5,10", "--part", "module", "--part", "memos"]
-    found = CliRunner().invoke(root, ["scale", "slopes", *given, "--seconds", "60", "--to", str(path)])
-    assert found.exit_code == 0, found.output
-    part = load_results(path).samples
-    assert {one.subset for one in part} == {8}
-    assert {one.quantity for one in part} <= {one.quantity for one in slope_samples}
-    (whole,) = (s.value for s in slope_samples if s.quantity == "module_bytes" and s.engines == 60)
-    assert all(s.value < whole for s in part if s.quantity == "module_bytes")
-    few = CliRunner().invoke(root, ["scale", "slopes", *given, "--played-engines", "20", "--to", str(path)])
-    assert few.exit_code == 2
+    args = ["--subset", "8", "--fleet", "40", "--engines", "60,120", "--repeats", "3", "--rounds", "1"]
+    args += ["--played-engines", "20,40", "--played-gateways", "5,10", "--part", "module", "--part", "memos"]
+    result = CliRunner().invoke(root, ["scale", "slopes", *args, "--seconds", "60", "--to", str(path)])
+    assert result.exit_code == 0, result.output
+    subset_samples = load_results(path).samples
+    assert {sample.subset for sample in subset_samples} == {8}
+    assert {sample.quantity for sample in subset_samples} <= {sample.quantity for sample in slope_samples}
+    (full_bytes,) = (s.value for s in slope_samples if s.quantity == "module_bytes" and s.engines == 60)
+    assert all(s.value < full_bytes for s in subset_samples if s.quantity == "module_bytes")
+    mismatched = CliRunner().invoke(
+        root, ["scale", "slopes", *args, "--played-engines", "20", "--to", str(path)]
+    )
+    assert mismatched.exit_code == 2
 
 
 @pytest.mark.parametrize(("bound", "word"), [(("--seconds", "0"), "time"), (("--memory-mb", "1"), "memory")])
@@ -108,19 +111,19 @@
     tmp_path: Path, bound: tuple[str, str], word: str
 ) -> None:
     path = tmp_path / "slopes.json"
-    found = CliRunner().invoke(root, ["scale", "slopes", *SMALL_RUN, *bound, "--to", str(path)])
-    assert found.exit_code == 1
-    assert word in found.output.splitlines()[-1]
+    result = CliRunner().invoke(root, ["scale", "slopes", *SMALL_RUN, *bound, "--to", str(path)])
+    assert result.exit_code == 1
+    assert word in result.output.splitlines()[-1]
     assert "was not run" in load_results(path).note
 
 
 def test_list_filter_is_applied_before_the_policy() -> None:
-    def half(event: api.EngineListReceived) -> api.EngineListReceived:
+    def even_engines(event: api.EngineListReceived) -> api.EngineListReceived:
         kept = tuple(entry for entry in event.entries if int(entry.engine[-1]) % 2 == 0)
         return replace(event, entries=kept)
 
     assert len(PolicyHarness(Deployment(20, 40)).policy.ready) == 40
-    assert len(PolicyHarness(Deployment(20, 40), half).policy.ready) == 20
+    assert len(PolicyHarness(Deployment(20, 40), even_engines).policy.ready) == 20
 
 
 def test_lists_of_a_deployment_are_readable_by_a_gateway() -> None:
@@ -136,46 +139,49 @@
 
 
 def test_the_same_seed_repeats_and_all_gateways_receive_each_report() -> None:
-    def played(seed: int) -> list[tuple[int, int, int]]:
-        play = ReportExchange(Deployment(5, 10), 10.0, seed)
-        play.start()
-        play.run(2_000_000, Bench(time.monotonic() + 60, 4096))
-        return [(c.received_datagrams, c.sent_datagrams, c.probes) for c in play.traffic]
+    def run_exchange(seed: int) -> list[tuple[int, int, int]]:
+        exchange = ReportExchange(Deployment(5, 10), 10.0, seed)
+        exchange.start()
+        exchange.run(2_000_000, Bench(time.monotonic() + 60, 4096))
+        return [
+            (traffic.received_datagrams, traffic.sent_datagrams, traffic.probes)
+            for traffic in exchange.traffic
+        ]
 
-    assert played(3) == played(3) != played(4)
-    heard, told = (sum(each[place] for each in played(3)) for place in (0, 1))
-    assert 0 < heard <= told <= heard + 4 * 10  # what is on its way at the end has not been heard
+    assert run_exchange(3) == run_exchange(3) != run_exchange(4)
+    received, sent = (sum(gateway[index] for gateway in run_exchange(3)) for index in (0, 1))
+    assert 0 < received <= sent <= received + 4 * 10  # some are still in transit at the end
 
 
 def test_rounds_are_merged_into_one_sample_per_size() -> None:
-    def one(value: float) -> Sample:
+    def round_sample(value: float) -> Sample:
         return Sample(
             quantity="a_us", unit="us", gateways=1, engines=2, value=value, low=value - 1, high=value + 1,
             n=3, kind="core",
         )  # fmt: skip
 
-    found = merge_rounds([one(5), one(9), one(6)])
-    assert [(s.value, s.low, s.high, s.n) for s in found] == [(6, 4, 10, 9)]
+    merged = merge_rounds([round_sample(5), round_sample(9), round_sample(6)])
+    assert [(s.value, s.low, s.high, s.n) for s in merged] == [(6, 4, 10, 9)]
 
 
 def test_a_figure_is_the_mean_over_its_iterations_and_bounds_are_checked() -> None:
-    bench, turns = Bench(time.monotonic() + 60, 4096), [0]
+    bench, iterations = Bench(time.monotonic() + 60, 4096), [0]
 
     def work() -> None:
-        turns[0] += 1
+        iterations[0] += 1
 
-    before = [0]
+    preparations = [0]
 
     def prepare() -> None:
-        before[0] += 1
+        preparations[0] += 1
 
     assert len(measure_cpu_us(work, 4, bench, prepare, single=True)) == 4
-    assert turns[0] == 4
-    assert before[0] == 5  # once ahead of all
+    assert iterations[0] == 4
+    assert preparations[0] == 5  # once more ahead of all figures
     assert len(bench.slowdowns) == 8
     assert min(bench.slowdowns) >= 1.0
     with pytest.raises(BoundError, match="time"):
         measure_cpu_us(work, 1, Bench(time.monotonic() - 1, 4096))
-    held, made = measure_held_bytes(lambda: bytearray(100_000))
-    assert 100_000 <= held < 110_000
+    held_bytes, made = measure_held_bytes(lambda: bytearray(100_000))
+    assert 100_000 <= held_bytes < 110_000
     assert len(made) == 100_000
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -1,4 +1,4 @@
-"""The ways of subsetting that are weighed, at a size that a test bears; and the page that quotes them."""
+"""The subset assignment methods, at a small size, and the page that quotes their results."""
 
 from pathlib import Path
 
@@ -15,19 +15,22 @@
 @pytest.mark.parametrize("name", ways.METHODS)
 def test_each_method_assigns_an_engine_to_a_gateway_at_most_once(name: str) -> None:
     words = ways.hash_words(np.arange(ENGINES, dtype=np.uint64), 99)
-    pairs = ways.METHODS[name](GATEWAYS, words, KEEP)
-    assert len({(int(g), int(e)) for g, e in zip(pairs.gateway, pairs.engine, strict=True)}) == len(
-        pairs.engine
+    assignment = ways.METHODS[name](GATEWAYS, words, KEEP)
+    assert len({(int(g), int(e)) for g, e in zip(assignment.gateway, assignment.engine, strict=True)}) == len(
+        assignment.engine
     )
-    sizes = np.bincount(pairs.gateway, minlength=GATEWAYS)
-    assert abs(float(sizes.mean()) - KEEP) <= 2 and sizes.min() > 0
+    engine_counts = np.bincount(assignment.gateway, minlength=GATEWAYS)
+    assert abs(float(engine_counts.mean()) - KEEP) <= 2 and engine_counts.min() > 0
     ids = np.arange(ENGINES)
-    assert not ways.count_gained_engines(pairs, ids, pairs, ids, GATEWAYS).any()
-    assert abs(float(ways.engine_loads(pairs, np.ones(GATEWAYS), ENGINES, load_aware=True).mean()) - 1) < 1e-9
+    assert not ways.count_gained_engines(assignment, ids, assignment, ids, GATEWAYS).any()
+    assert (
+        abs(float(ways.engine_loads(assignment, np.ones(GATEWAYS), ENGINES, load_aware=True).mean()) - 1)
+        < 1e-9
+    )
 
 
 def test_partners_and_bytes_of_groups_match_a_manual_calculation() -> None:
-    """15 groups of 4 gateways and 16 engines: 3 partners; of 16 engines' probes a gateway hears 3 in 4."""
+    """15 groups of 4 gateways and 16 engines: 3 partners each, which send 3 in 4 of the probe reports."""
     words = ways.hash_words(np.arange(ENGINES, dtype=np.uint64), 99)
     partners, sent = ways.report_traffic(ways.disjoint_groups(GATEWAYS, words, KEEP), GATEWAYS, ENGINES)
     assert set(partners) == {3}
@@ -37,32 +40,34 @@
 
 
 def test_the_results_file_stays_small() -> None:
-    samples = [one for size in ((60, 240), (70, 240)) for one in ways.evaluate_method("cells", *size, KEEP)]
+    samples = [
+        sample for size in ((60, 240), (70, 240)) for sample in ways.evaluate_method("cells", *size, KEEP)
+    ]
     kept = ways.select_for_file(samples)
-    assert {one.quantity for one in kept if one.gateways == 60} == set(ways.SMALL_SIZE_QUANTITIES)
-    assert {one.quantity for one in kept if one.gateways == 70} > set(ways.SMALL_SIZE_QUANTITIES)
+    assert {sample.quantity for sample in kept if sample.gateways == 60} == set(ways.SMALL_SIZE_QUANTITIES)
+    assert {sample.quantity for sample in kept if sample.gateways == 70} > set(ways.SMALL_SIZE_QUANTITIES)
 
 
 def test_the_page_matches_the_results_file() -> None:
-    found: dict[str, dict[str, Sample]] = {}
-    for one in load_results(ROOT / "docs/capacity/ways.json").samples:
-        if one.gateways == 4000 and one.kind == "simulated":
-            found.setdefault(one.note, {})[one.quantity] = one
+    by_method: dict[str, dict[str, Sample]] = {}
+    for sample in load_results(ROOT / "docs/capacity/ways.json").samples:
+        if sample.gateways == 4000 and sample.kind == "simulated":
+            by_method.setdefault(sample.note, {})[sample.quantity] = sample
     page = (ROOT / "docs/subset.md").read_text(encoding="utf-8").splitlines()
     rows = {
         row.split(" | ")[0].strip("|* "): row.strip("| ").split(" | ") for row in page if row.startswith("| ")
     }
-    assert set(found) == set(ways.METHODS) and set(found) <= set(rows)
-    for name, by in found.items():
+    assert set(by_method) == set(ways.METHODS) and set(by_method) <= set(rows)
+    for name, by_quantity in by_method.items():
 
-        def quote(form: str, *quantities: str, by: dict[str, Sample] = by) -> str:
-            return "; ".join(format(by[quantity].value, form) for quantity in quantities)
+        def quote(spec: str, *quantities: str, by_quantity: dict[str, Sample] = by_quantity) -> str:
+            return "; ".join(format(by_quantity[quantity].value, spec) for quantity in quantities)
 
-        size = by["part_engines"]
-        low, high = f"{size.low:.0f}", f"{size.high:.0f}"
+        engines = by_quantity["part_engines"]
+        low, high = f"{engines.low:.0f}", f"{engines.high:.0f}"
         assert rows[name][1:] == [
             low if low == high else f"{low} to {high}",
-            f"{by['holders_least'].value:.0f} to {by['holders_most'].value:.0f}",
+            f"{by_quantity['holders_least'].value:.0f} to {by_quantity['holders_most'].value:.0f}",
             quote(".3f", "load_cv_plain_sigma_0", "load_cv_aware_sigma_0"),
             quote(".3f", "load_cv_aware_sigma_0.5", "load_cv_aware_sigma_1"),
             quote(".2f", "load_most_aware_sigma_1"),
