--- a/whintrail/scale/ways.py
+++ b/whintrail/scale/ways.py
@@ -93,32 +93,33 @@
     return Assignment(pair_codes // engines, pair_codes % engines)
 
 
-def rendezvous(gateways: int, engines: WordArray, keep: int) -> Assignment:
+def rendezvous(gateways: int, engines: WordArray, subset_size: int) -> Assignment:
     """Rendezvous hashing: each gateway gets the engines that rank highest by a joint hash."""
     gateway_words = hash_words(np.arange(gateways, dtype=np.uint64), 77)
     highest = [
-        np.argpartition(hash_words(engines ^ gateway_word, 5), len(engines) - keep)[-keep:]
+        np.argpartition(hash_words(engines ^ gateway_word, 5), len(engines) - subset_size)[-subset_size:]
         for gateway_word in gateway_words
     ]
-    return Assignment(np.repeat(np.arange(gateways), keep), np.concatenate(highest))
+    return Assignment(np.repeat(np.arange(gateways), subset_size), np.concatenate(highest))
 
 
-def shuffled_rounds(gateways: int, engines: WordArray, keep: int) -> Assignment:
+def shuffled_rounds(gateways: int, engines: WordArray, subset_size: int) -> Assignment:
     """Deterministic subsetting: each round splits a shuffle of all engines among some of the gateways."""
-    gateways_per_round = len(engines) // keep
+    gateways_per_round = len(engines) // subset_size
     orders = [
         np.argsort(hash_words(engines, 1000 + r), kind="stable")
         for r in range(-(-gateways // gateways_per_round))
     ]
     parts = [
-        orders[g // gateways_per_round][(g % gateways_per_round) * keep :][:keep] for g in range(gateways)
+        orders[g // gateways_per_round][(g % gateways_per_round) * subset_size :][:subset_size]
+        for g in range(gateways)
     ]
-    return Assignment(np.repeat(np.arange(gateways), keep), np.concatenate(parts))
+    return Assignment(np.repeat(np.arange(gateways), subset_size), np.concatenate(parts))
 
 
-def disjoint_groups(gateways: int, engines: WordArray, keep: int) -> Assignment:
+def disjoint_groups(gateways: int, engines: WordArray, subset_size: int) -> Assignment:
     """Disjoint groups: all gateways of a group have the same engines, and no others have them."""
-    groups = max(1, len(engines) // keep)
+    groups = max(1, len(engines) // subset_size)
     order = np.argsort(hash_words(engines, 3), kind="stable")
     parts = np.array_split(order, groups)
     return Assignment(
@@ -128,39 +129,39 @@
 
 
 def ranked_rings(rings: int, even: bool) -> AssignmentMethod:
-    """Build a method with arcs of `keep / rings` engines on each ring.
+    """Build a method with arcs of `subset_size / rings` engines on each ring.
 
     `even`: gateway g starts at g / gateways, which depends on the number of gateways.
     """
 
-    def assign(gateways: int, engines: WordArray, keep: int) -> Assignment:
+    def assign(gateways: int, engines: WordArray, subset_size: int) -> Assignment:
         parts, numbers = [], np.arange(gateways)
         for ring in range(rings):
             order = np.argsort(hash_words(engines, 10 + ring), kind="stable")
             start = numbers / gateways if even else numbers * RING_STEPS[ring] % 1.0
             first = (start * len(engines)).astype(np.int64)
-            parts.append(assign_arcs(first, np.full(gateways, keep // rings), order))
+            parts.append(assign_arcs(first, np.full(gateways, subset_size // rings), order))
         return merge_assignments(parts, len(engines))
 
     return assign
 
 
-def first_on_ring(gateways: int, engines: WordArray, keep: int) -> Assignment:
-    """Consistent hashing: each gateway gets the next `keep` engines from its position on the ring."""
+def first_on_ring(gateways: int, engines: WordArray, subset_size: int) -> Assignment:
+    """Consistent hashing: each gateway gets the next `subset_size` engines from its position on the ring."""
     positions = ring_positions(engines, 20)
     order = np.argsort(positions, kind="stable")
     first = np.searchsorted(positions[order], np.arange(gateways) * RING_STEPS[0] % 1.0)
-    return assign_arcs(first, np.full(gateways, keep), order)
+    return assign_arcs(first, np.full(gateways, subset_size), order)
 
 
 def split_rings(rings: int) -> AssignmentMethod:
     """Build a method with arcs of a fixed width on several rings.
 
     Each engine is on one ring, by its hash. Gateways are on all rings, in a different order on each, and get
-    the engines within an arc of keep / engines from their position.
+    the engines within an arc of subset_size / engines from their position.
     """
 
-    def assign(gateways: int, engines: WordArray, keep: int) -> Assignment:
+    def assign(gateways: int, engines: WordArray, subset_size: int) -> Assignment:
         parts, ring_of, positions = (
             [],
             hash_words(engines, 19) % np.uint64(rings),
@@ -172,7 +173,7 @@
             unrolled = np.concatenate([positions[order], positions[order] + 1.0])
             start = np.arange(gateways) * RING_STEPS[ring] % 1.0
             first = np.searchsorted(unrolled, start)
-            last = np.searchsorted(unrolled, start + keep / len(engines))
+            last = np.searchsorted(unrolled, start + subset_size / len(engines))
             parts.append(assign_arcs(first, last - first, order))
         return merge_assignments(parts, len(engines))
 
@@ -270,7 +271,7 @@
     return np.bincount(sender, minlength=gateways), sent
 
 
-def measure_cost(gateways: int, engines: int, keep: int) -> list[Sample]:
+def measure_cost(gateways: int, engines: int, subset_size: int) -> list[Sample]:
     """Measure the processor time and memory of a real `SubsetAssignment`, and its engines and holders.
 
     Engines and holders are sampled over 40 gateways: without a keyed class, with one whose repeats stay in a
@@ -288,7 +289,9 @@
         if not round_index:
             tracemalloc.start()
         started_at = time.process_time()
-        assignment = SubsetAssignment(SubsetPlan(size=keep), build_settings(gateways, gateways // 3, None))
+        assignment = SubsetAssignment(
+            SubsetPlan(size=subset_size), build_settings(gateways, gateways // 3, None)
+        )
         assignment.apply_list(full_list)
         if round_index:
             start_times_us.append((time.process_time() - started_at) * 1e6)
@@ -311,7 +314,7 @@
         engine_counts, holder_counts = list[float](), list[float]()
         for number in range(0, gateways, gateways // 40):
             assignment = SubsetAssignment(
-                SubsetPlan(size=keep), build_settings(gateways, number, dedup_scope)
+                SubsetPlan(size=subset_size), build_settings(gateways, number, dedup_scope)
             )
             assignment.apply_list(full_list)
             engine_counts.append(float(len(assignment.kept)))
@@ -319,7 +322,9 @@
         samples.append(sample(f"part_engines_{name}", "count", (gateways, engines), engine_counts, "core"))
         samples.append(sample(f"part_holders_{name}", "count", (gateways, engines), holder_counts, "core"))
     return [
-        msgspec.structs.replace(cost_sample, subset=keep, note="whintrail.subset.assignment.SubsetAssignment")
+        msgspec.structs.replace(
+            cost_sample, subset=subset_size, note="whintrail.subset.assignment.SubsetAssignment"
+        )
         for cost_sample in samples
     ]
 
@@ -343,7 +348,7 @@
     )  # fmt: skip
 
 
-def evaluate_method(name: str, gateways: int, engines: int, keep: int) -> list[Sample]:
+def evaluate_method(name: str, gateways: int, engines: int, subset_size: int) -> list[Sample]:
     """Measure all quantities of one method at one size."""
     method, random = METHODS[name], np.random.default_rng(1)
     ids = np.arange(engines)
@@ -352,9 +357,9 @@
 
     def add(quantity: str, unit: str, *values: float) -> None:
         new_sample = sample(quantity, unit, (gateways, engines), [float(v) for v in values], "simulated")
-        samples.append(msgspec.structs.replace(new_sample, subset=keep, note=name))
+        samples.append(msgspec.structs.replace(new_sample, subset=subset_size, note=name))
 
-    assignment = method(gateways, words, keep)
+    assignment = method(gateways, words, subset_size)
     engine_counts = np.bincount(assignment.gateway, minlength=gateways)
     holders = np.bincount(assignment.engine, minlength=engines)
     add(
@@ -380,13 +385,13 @@
     # Churn: engines that a gateway has to add.
     gained_by_adding = [
         count_gained_engines(
-            method(gateways, np.delete(words, e), keep), np.delete(ids, e), assignment, ids, gateways
+            method(gateways, np.delete(words, e), subset_size), np.delete(ids, e), assignment, ids, gateways
         ).mean()
         for e in random.integers(0, engines, 5)
     ]
     gained_by_removal = [
         count_gained_engines(
-            assignment, ids, method(gateways, np.delete(words, e), keep), np.delete(ids, e), gateways
+            assignment, ids, method(gateways, np.delete(words, e), subset_size), np.delete(ids, e), gateways
         ).mean()
         for e in random.integers(0, engines, 5)
     ]
@@ -397,11 +402,11 @@
         "churn_zone_goes",
         "count",
         count_gained_engines(
-            assignment, ids, method(gateways, words[outside_zone], keep), outside_zone, gateways
+            assignment, ids, method(gateways, words[outside_zone], subset_size), outside_zone, gateways
         ).mean(),
     )
     for added, label in ((1, "one"), (gateways // 10, "tenth")):
-        grown = method(gateways + added, words, keep)
+        grown = method(gateways + added, words, subset_size)
         add(
             f"churn_fleet_grows_{label}",
             "count",
