--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -58,7 +58,7 @@
     return samples
 
 
-def value_of(result: RowResult | rates.Reckoned) -> Estimate:
+def value_of(result: RowResult | rates.FactResult) -> Estimate:
     assert result.value is not None, result.missing
     return result.value
 
@@ -226,23 +226,27 @@
     samples = samples_on_line(
         "version_in_force_s", 0.0, 3.0, dimension="gateways", kind="simulated", note="one after another"
     )
-    result = rates.reckon(find_fact("mean_left"), FitCache(samples))
-    assert value_of(result).value == pytest.approx(64_000 - 86_400 / 3.0) and result.passed
+    result = rates.evaluate_fact(find_fact("mean_left"), FitCache(samples))
+    assert value_of(result).value == pytest.approx(64_000 - 86_400 / 3.0) and result.is_exceeded
     assert value_of(result).low <= value_of(result).value <= value_of(result).high
-    last_of_burst = value_of(rates.reckon(find_fact("burst_last"), FitCache(samples))).value
+    last_of_burst = value_of(rates.evaluate_fact(find_fact("burst_last"), FitCache(samples))).value
     assert last_of_burst == pytest.approx(64_000 / 86_400 * 10 * 600 * 3.0 - 600)
     fast_changes = samples_on_line(
         "version_in_force_s", 0.0, 0.1, dimension="gateways", kind="simulated", note="one after another"
     )
-    assert not rates.reckon(find_fact("mean_left"), FitCache(fast_changes)).passed
-    assert value_of(rates.reckon(find_fact("burst_last"), FitCache(fast_changes))).value == pytest.approx(0.1)
+    assert not rates.evaluate_fact(find_fact("mean_left"), FitCache(fast_changes)).is_exceeded
+    assert value_of(
+        rates.evaluate_fact(find_fact("burst_last"), FitCache(fast_changes))
+    ).value == pytest.approx(0.1)
 
 
 def test_a_zone_is_a_nineteenth_of_the_fleet_and_more_than_may_be_out() -> None:
-    result = rates.reckon(find_fact("zone_gateways"), FitCache([]))
-    assert value_of(result).value == pytest.approx(4000 / 19) and result.passed
-    assert rates.reckon(find_fact("rack_stand"), FitCache([])).missing == "module_list_delta_us"
-    stand = rates.reckon(find_fact("rack_stand"), FitCache(samples_on_line("module_list_delta_us", 1.5)))
+    result = rates.evaluate_fact(find_fact("zone_gateways"), FitCache([]))
+    assert value_of(result).value == pytest.approx(4000 / 19) and result.is_exceeded
+    assert rates.evaluate_fact(find_fact("rack_stand"), FitCache([])).missing == "module_list_delta_us"
+    stand = rates.evaluate_fact(
+        find_fact("rack_stand"), FitCache(samples_on_line("module_list_delta_us", 1.5))
+    )
     assert value_of(stand).value == pytest.approx(40 * 1.5 * 15_000 / 1e6, rel=0.01)
 
 
@@ -453,7 +457,7 @@
         exponent_error=0.7,
         form="linear",
         sizes=(20, 40, 80),
-        worst=0.1,
+        worst_residual=0.1,
         curve=lambda size: (size, 1.5 * size),
     )
     result = capacity.evaluate_row(find_row("refresh_cpu"), fit_cache)
--- a/whintrail/scale/capacity.py
+++ b/whintrail/scale/capacity.py
@@ -158,7 +158,7 @@
             self.used_keys.append(key)
         size = self.engines if grows_with == "engines" else self.gateways
         fitted = self.fit_cache.fit(key)
-        value, low, high = fitted.at(size)
+        value, low, high = fitted.estimate_at(size)
         if value < 0 and size > max(fitted.sizes):  # no cost is negative: the fit fails this far out
             return Estimate(0.0, 0.0, math.inf)
         return Estimate(max(0.0, value), max(0.0, low), max(0.0, high))
--- a/whintrail/scale/page.py
+++ b/whintrail/scale/page.py
@@ -17,7 +17,7 @@
 from whintrail.cli.output import format_option, print_rows
 from whintrail.scale import capacity, rates, rows, tables
 from whintrail.scale.capacity import FitCache, MeasurementKey, RowResult
-from whintrail.scale.fitting import Fit, Grows, selected
+from whintrail.scale.fitting import Fit, SizeDimension, select_samples
 from whintrail.scale.results import (
     Results,
     ResultsError,
@@ -155,7 +155,9 @@
         ):
             values.append((row.key, row.unit, value))
     for fact in rates.FACTS:
-        if (value := rates.reckon(fact, fit_cache, size).value) is not None and math.isfinite(value.high):
+        if (value := rates.evaluate_fact(fact, fit_cache, size).value) is not None and math.isfinite(
+            value.high
+        ):
             values.append((fact.key, fact.unit, value))
     return values
 
@@ -163,7 +165,7 @@
 # --- Predictions.
 
 
-def find_dimension(quantity: str, samples: Sequence[Sample]) -> Grows:
+def find_dimension(quantity: str, samples: Sequence[Sample]) -> SizeDimension:
     """Finds the dimension over which the page uses a quantity. Raises click.ClickException if it doesn't."""
     for row in rows.ROWS:
         for key in capacity.evaluate_row(row, FitCache(samples)).used_keys:
@@ -172,7 +174,7 @@
     raise click.ClickException(f"no row of the page uses {quantity}")
 
 
-def predict(samples: Sequence[Sample], wanted: Sample, dimension: Grows, now_s: float) -> Prediction:
+def predict(samples: Sequence[Sample], wanted: Sample, dimension: SizeDimension, now_s: float) -> Prediction:
     """Predicts a value at a size that was not measured yet.
 
     `wanted` names the quantity, size and kind. Raises ValueError if it was measured or cannot be predicted.
@@ -194,7 +196,7 @@
         fit = FitCache(similar_samples, subset=wanted.subset).fit(key)
     except capacity.NotMeasured as error:
         raise ValueError(f"{wanted.quantity}: a prediction needs samples at two sizes") from error
-    value, low, high = fit.at(size)
+    value, low, high = fit.estimate_at(size)
     return Prediction(
         quantity=wanted.quantity,
         unit=fit.unit,
@@ -242,7 +244,7 @@
 
 def _write_plot(pyplot: object, samples: Sequence[Sample], key: MeasurementKey, fit: Fit, path: Path) -> None:
     selection = {"kind": key.kind, "role": key.role, "note": key.note, "day": key.day}
-    selected_samples = selected(samples, key.quantity, key.grows_with, **selection)  # type: ignore[arg-type]
+    selected_samples = select_samples(samples, key.quantity, key.grows_with, **selection)  # type: ignore[arg-type]
     sizes = [getattr(sample, key.grows_with) for sample in selected_samples]
     figure, axes = pyplot.subplots(figsize=(6, 4))  # type: ignore[attr-defined]
     values = [sample.high if key.stat == "high" else sample.value for sample in selected_samples]
@@ -251,7 +253,7 @@
     curve_sizes = [
         max(1.0, min(sizes)) * (target_size / max(1.0, min(sizes))) ** (step / 60) for step in range(61)
     ]
-    curve = [fit.at(x) for x in curve_sizes]
+    curve = [fit.estimate_at(x) for x in curve_sizes]
     floor = max(1e-12, min(values)) / 10  # a logarithmic axis shows no values below 0
     axes.plot(curve_sizes, [point[0] for point in curve], color="C1", label=fit.form)
     axes.fill_between(
--- a/whintrail/scale/tables.py
+++ b/whintrail/scale/tables.py
@@ -281,7 +281,7 @@
             if fit.exponent == fit.exponent  # not NaN
             else EMPTY_CELL
         )
-        worst_deviation = f"{format_number(100 * zero_if_negligible(fit.worst, 1.0))}%"
+        worst_deviation = f"{format_number(100 * zero_if_negligible(fit.worst_residual, 1.0))}%"
         body.append(
             (
                 key.quantity,
@@ -303,25 +303,31 @@
     return ", ".join(part for part in parts if part) or "gateway"
 
 
-def rates_table(facts: Sequence[rates.Reckoned], fit_cache: FitCache) -> str:
+def rates_table(facts: Sequence[rates.FactResult], fit_cache: FitCache) -> str:
     """What each event costs, compared with its budget."""
     head = ("event", "what", "at 4,000 and 15,000", "budget", "holds")
     body = []
     for result in facts:
         fact = result.fact
         value = value_cell(
-            result.value, result.missing, fact.unit, result.used, fit_cache, fact.value, result.untold
+            result.value,
+            result.missing,
+            fact.unit,
+            result.used_keys,
+            fit_cache,
+            fact.evaluate,
+            result.is_inconclusive,
         )
         holds = (
             EMPTY_CELL
             if fact.budget is None or result.value is None
             else "**no**"
-            if result.passed
+            if result.is_exceeded
             else "yes"
         )
-        if fact.budget is not None and result.untold:
-            holds = "**no**, there already" if result.passed else INCONCLUSIVE
-        body.append((fact.event, fact.what, value, fact.budget_name or EMPTY_CELL, holds))
+        if fact.budget is not None and result.is_inconclusive:
+            holds = "**no**, there already" if result.is_exceeded else INCONCLUSIVE
+        body.append((fact.event, fact.description, value, fact.budget_name or EMPTY_CELL, holds))
     return markdown_table(head, body)
 
 
@@ -775,10 +781,13 @@
         except capacity.NotMeasured:
             continue
         common = [size for size in old.sizes if size in new.sizes]
-        if not common or not old.at(common[-1])[0] > MIN_IMPROVEMENT_RATIO * new.at(common[-1])[0] > 0:
+        if (
+            not common
+            or not old.estimate_at(common[-1])[0] > MIN_IMPROVEMENT_RATIO * new.estimate_at(common[-1])[0] > 0
+        ):
             continue
         size = f"{common[-1]:,} {key.grows_with}"
-        before, after = (format_quantity(fit.at(common[-1])[0], fit.unit) for fit in (old, new))
+        before, after = (format_quantity(fit.estimate_at(common[-1])[0], fit.unit) for fit in (old, new))
         body.append([key.quantity, _describe_key(key), size, before, old.form, after, new.form])
     if not body:
         return "Nothing was mended between two files of results."
@@ -815,10 +824,10 @@
     samples = samples_to_fit(results)
     figures = FitCache(samples)
     row_results = [capacity.evaluate_row(row, figures) for row in rows.ROWS]
-    facts = [rates.reckon(fact, figures) for fact in rates.FACTS]
+    facts = [rates.evaluate_fact(fact, figures) for fact in rates.FACTS]
     keys = dict.fromkeys(
         [key for result in row_results for key in result.used_keys]
-        + [key for result in facts for key in result.used]
+        + [key for result in facts for key in result.used_keys]
     )
     renderers: dict[str, Callable[[], str]] = {
         "inputs": inputs_table,
