--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,7 +1,8 @@
-"""Limits what all gateways together send to a cold engine: many routing policies, one clock, one seed.
+"""The limit on what all gateways together send to a cold engine, counted at the engine.
 
-The offered load exceeds the capacity of the engines several times. Queries have fixed work, so that requests
-of mean work can be counted, which is how the budget is stated.
+Many routing policies run on one clock with one seed. The offered load exceeds the capacity of the engines
+several times. Queries have fixed work, so that requests of mean work can be counted, which is how the budget
+is stated.
 """
 
 import heapq
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -373,7 +373,7 @@
     for gateway in range(100):
         driver = driver_with_cold_engines(gateway)
         begin = driver.now
-        for number in range(24):  # four a second, a third of them long: three times the fleet's capacity
+        for number in range(24):  # four a second at each gateway, a third long: thrice the capacity
             name, work = ("long", 2e6) if number % 3 == 0 else ("short", 1e5)
             for send in sends(
                 driver.arrive_query(number, name, cost_us=work, deadline_at_us=driver.now + 60 * SECOND)
--- a/whintrail/gateway/links.py
+++ b/whintrail/gateway/links.py
@@ -323,8 +323,8 @@
             case "rows":
                 self._on_rows(in_flight, answer)
             case word:
-                # If the engine showed before that the query runs, an answer that says it did not is not
-                # trusted: a query that may run only once would be sent again.
+                # An answer that the query did not run is not trusted if the engine showed before that it
+                # does: a query that may run only once would be sent again, or its client told to retry.
                 outcome = api.Outcome.ERROR if in_flight.has_started else ANSWER_OUTCOMES[word]
                 self._finish_attempt(
                     in_flight, AttemptResult(in_flight.attempt, outcome, report=self.pool.load_report(answer))
--- a/whintrail/interface.py
+++ b/whintrail/interface.py
@@ -312,7 +312,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseQuery:
-    """Final answer: the query was not run, a retry is harmless."""
+    """Final answer: the query has no result, and a retry is harmless."""
 
     query: int
     retry_after_us: int | None
--- a/whintrail/routing.py
+++ b/whintrail/routing.py
@@ -360,9 +360,9 @@
             return False
         if not query.attempts:
             return True
-        most, first_run = settings.max_attempts, first_possible_run(query)
+        max_attempts, first_run = settings.max_attempts, first_possible_run(query)
         concurrent = query.open_attempts and not settings.concurrent_attempts_allowed
-        if (most is not None and len(query.attempts) >= most) or concurrent:
+        if (max_attempts is not None and len(query.attempts) >= max_attempts) or concurrent:
             return False
         if first_run and cls.effect is not api.Effect.REPEATABLE:
             if cls.effect is api.Effect.ONCE or self.now >= self._latest_start(query, first_run):
@@ -401,7 +401,7 @@
         return self.now >= engine.cold_until or self._has_cold_budget(query, engine)
 
     def _has_cold_budget(self, query: Query, engine: Engine) -> bool:
-        """Rule 4: this gateway's share of a safe part of what a cold engine bears, by typical work."""
+        """Rule 4: this gateway's safe share of what a cold engine bears, by typical work, bursts included."""
         s = self.settings
         if s.overload_multiple is None:
             return True
@@ -487,8 +487,8 @@
         s, (grant, priority) = self.settings, query.grant_and_priority
         ratio = query.cls.mean_memory_ratio.value
         if s.memory_grants_honored and ratio and query.memory_mb is not None:
-            most = s.kind_memory_mb.get(engine.kind, math.inf) * s.max_memory_grant_share
-            grant = round(min(most, query.memory_mb * ratio * MEMORY_GRANT_RATIO), 1)
+            max_grant = s.kind_memory_mb.get(engine.kind, math.inf) * s.max_memory_grant_share
+            grant = round(min(max_grant, query.memory_mb * ratio * MEMORY_GRANT_RATIO), 1)
         if s.priorities_honored:
             short = query.cls.typical_work_us / query.threads < self.mean_ideal_us / 2
             priority = 0 if self.now > query.target_at else (3 if short else 2) - query.heavy
@@ -540,7 +540,7 @@
         query, attempt = found
         engine, attempt.outcome, query.open_attempts = attempt.engine, event.outcome, query.open_attempts - 1
         engine.table_group_work[query.table_group] -= query.ideal_us
-        if engine.table_group_work[query.table_group] < 1:  # clients name groups: unused ones are dropped
+        if engine.table_group_work[query.table_group] < 1:  # clients name groups: unused ones would pile up
             del engine.table_group_work[query.table_group]
         for load in (engine, self.fleet_total):
             load.threads -= query.threads
@@ -628,15 +628,15 @@
         long = query.ideal_us > self.mean_ideal_us  # short ones look fast in an overload if priorities count
         fleet = self.fleet_total
         updates = [(engine, LIMIT_STEP, 10.0), (fleet, FLEET_LIMIT_STEP, 2 * fleet.latency_ratio)]
-        for load, step, most in updates[: 1 + long]:
-            change = min(ratio / cls.best_latency, most) - load.latency_ratio
+        for load, step, max_ratio in updates[: 1 + long]:
+            change = min(ratio / cls.best_latency, max_ratio) - load.latency_ratio
             load.latency_ratio += LATENCY_RATIO_GAIN * change
             scale = load.limit_scale + (step if load.latency_ratio < PRESSURE_LATENCY_RATIO else -step)
             load.limit_scale = min(MAX_LIMIT_SCALE, max(MIN_LIMIT_SCALE, scale))
 
     def _record_projected_latency(self, query: Query, total_us: float) -> None:
         """Record an attempt once, by its first progress or else its answer. If bad ones counted more, each
-        would raise the runaway threshold until none is found; answers show an overload when it is over."""
+        would raise the runaway threshold until none is found; answers show an overload only after it."""
         cls, ratio = query.cls, total_us / max(query.ideal_us, 5_000.0)
         cls.high_projected *= 1 + QUANTILE_STEP * (HIGH_QUANTILE - (ratio < cls.high_projected))
         cls.median_projected *= 1 + QUANTILE_STEP * (0.5 - (ratio < cls.median_projected))
@@ -698,7 +698,7 @@
             engine.connected_until = self.now + self.settings.keepalive_us
         if event.outcome is api.Outcome.TIMEOUT and self._most_engines_healthy():
             self._back_off_engine(engine)
-        if event.outcome is not api.Outcome.ERROR:  # an engine that fails fast still serves some queries
+        if event.outcome is not api.Outcome.ERROR:  # fails fast: it still serves some while others are full
             self._apply_outcome(engine, event.outcome)
         self._update_weight(engine)
         self._release_held(engine)
@@ -717,7 +717,7 @@
                 # Gateways take turns at a cold engine, so there all may use the same report.
                 if self.now < engine.cold_until or self.random.random() < PEER_REPORT_ACCEPTANCE:
                     apply_load_report(engine, at, report.load_report(engine.cores))
-                    self._update_weight(engine)  # held queries wait for the sweep: there are many messages
+                    self._update_weight(engine)  # held queries wait for the sweep: hundreds of messages come
 
     @_handle_event.register
     def _on_engine_list(self, event: api.EngineListReceived) -> None:
