--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -125,7 +125,7 @@
     run_with_sessions(scenario)
 
 
-def test_a_request_after_our_shutdown_is_drained_and_never_taken() -> None:
+def test_a_request_after_the_half_close_is_discarded_and_never_taken() -> None:
     async def scenario(harness: SessionHarness) -> None:
         sock, process, _ = await harness.connect_client()
         session = harness.sessions.sessions[process][0]
@@ -237,11 +237,11 @@
         session = harness.sessions.sessions[process][0]
         sock.sendall(Client.simple_query(query()) + b"x" * 100_000)
         await harness.wait_until(lambda: harness.received(QueryReceived) and session.connection.buffer.full)
-        (departed_query,) = harness.received(QueryReceived)
-        assert not session.has_left(departed_query)
+        (open_query,) = harness.received(QueryReceived)
+        assert not session.has_left(open_query)
         sock.shutdown(socket.SHUT_WR)
         await harness.wait_until(lambda: harness.received(ClientDeparted))
-        assert departed_query.client_left
+        assert open_query.client_left
 
     run_with_sessions(scenario, query_bytes=4096, sweep_interval_s=0.02)
 
@@ -251,11 +251,11 @@
         sock, _, _ = await harness.connect_client()
         sock.sendall(Client.simple_query(query()))
         await harness.wait_until(lambda: harness.received(QueryReceived))
-        (departed_query,) = harness.received(QueryReceived)
-        assert not departed_query.client.has_left(departed_query)
+        (open_query,) = harness.received(QueryReceived)
+        assert not open_query.client.has_left(open_query)
         sock.close()
         time.sleep(0.02)
-        assert departed_query.client.has_left(departed_query) and departed_query.client_left
+        assert open_query.client.has_left(open_query) and open_query.client_left
 
     run_with_sessions(scenario)
 
@@ -271,11 +271,11 @@
         sock, _, _ = await harness.connect_client()
         sock.sendall(Client.simple_query(query()))
         await harness.wait_until(lambda: harness.received(QueryReceived))
-        (departed_query,) = harness.received(QueryReceived)
+        (open_query,) = harness.received(QueryReceived)
         sock.sendall(Client.simple_query(query()))  # unread bytes ahead of the reset
         reset(sock)
         time.sleep(0.02)  # no task runs
-        assert departed_query.client.has_left(departed_query) and departed_query.client_left
+        assert open_query.client.has_left(open_query) and open_query.client_left
 
     run_with_sessions(scenario)
 
@@ -410,9 +410,8 @@
         first.client.refuse(first, None)
         await harness.wait_until(lambda: len(harness.received(QueryReceived)) == 2)
         second = harness.received(QueryReceived)[1]
-        assert (
-            abs(second.received_us - first.received_us) < 150_000
-        )  # by the kernel's account, not 0.3 s later
+        # Timed by the kernel's account of the arrival, not 0.3 s later.
+        assert abs(second.received_us - first.received_us) < 150_000
 
     run_with_sessions(scenario)
 
@@ -470,7 +469,7 @@
 
 
 @pytest.mark.parametrize("drip", [b"", b"x"])
-def test_a_watch_without_a_whole_line_counts_as_silent(drip: bytes) -> None:
+def test_a_bulletin_without_a_complete_line_counts_as_silent(drip: bytes) -> None:
     async def scenario() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
@@ -479,8 +478,8 @@
             replace(Limits.read({"settings": {}}), bulletin_silence_timeout_s=0.2),
         )
         config = {"bulletin": f"127.0.0.1:{listener.getsockname()[1]}"}
-        watch = BulletinClient(config, limits, Inbox(Clock()), Counters(), Log("test", 5.0, 1.0))
-        task = asyncio.create_task(watch.run())
+        bulletin_client = BulletinClient(config, limits, Inbox(Clock()), Counters(), Log("test", 5.0, 1.0))
+        task = asyncio.create_task(bulletin_client.run())
         first, _ = await loop.sock_accept(listener)
         dripping = asyncio.create_task(drip_on(first))
         async with asyncio.timeout(5):
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -60,7 +60,10 @@
 
 
 class SignalScenario:
-    """A gateway that gets SIGHUP at a given point, with a new configuration that names another bulletin."""
+    """A gateway that gets SIGHUP at a given point, with a new configuration.
+
+    It names another bulletin, which lists another engine.
+    """
 
     def __init__(self, folder: Path, at: str) -> None:
         self.engines = [Engine("s-1"), Engine("s-2")]
--- a/tests/test_other_customer.py
+++ b/tests/test_other_customer.py
@@ -68,10 +68,9 @@
         wait_for(lambda: running.bulletin.requested_events)
         running.bulletin.muted = True
         idle = [Client(running.port, start=False) for _ in range(60)]
-        asked = len(running.bulletin.requested_events)
-        wait_for(
-            lambda: len(running.bulletin.requested_events) > asked
-        )  # a new request, which needs a descriptor
+        request_count = len(running.bulletin.requested_events)
+        # A new connection to the bulletin, which needs a descriptor of its own.
+        wait_for(lambda: len(running.bulletin.requested_events) > request_count)
         idle += [Client(running.port, start=False) for _ in range(60)]
         running.bulletin.publish(running.engines[0].entry("leaving"))
         running.bulletin.muted = False
--- a/tests/test_rough_clients.py
+++ b/tests/test_rough_clients.py
@@ -74,9 +74,9 @@
         with suppress(OSError):  # the gateway may close before it has read everything
             for _ in range(60):
                 client.sock.sendall(block)
-                asked = time.monotonic()
+                asked_at = time.monotonic()
                 assert other.ask(query()).rows
-                assert time.monotonic() - asked < 1.0
+                assert time.monotonic() - asked_at < 1.0
             assert client.read_answer().sqlstate == "54000"
         assert time.monotonic() - start < 6.0
 
@@ -93,9 +93,9 @@
                 sent += flood.sock.send(block)
             except TimeoutError:
                 break  # the gateway has stopped reading
-            asked = time.monotonic()
+            asked_at = time.monotonic()
             assert other.ask(query()).rows
-            assert time.monotonic() - asked < 1.0
+            assert time.monotonic() - asked_at < 1.0
         else:
             pytest.fail(f"{sent} bytes taken from a client that reads no answer")
 
--- a/whintrail/gateway/connection.py
+++ b/whintrail/gateway/connection.py
@@ -9,7 +9,8 @@
 
 from whintrail.gateway.buffer import Buffer
 
-TCP_INFO_LAST_DATA_MS = struct.Struct("=52xI")  # tcpi_last_data_recv of Linux's tcp_info
+# tcpi_last_data_recv of Linux's tcp_info: milliseconds since data last came in.
+TCP_INFO_LAST_DATA_MS = struct.Struct("=52xI")
 # States in the first byte of tcp_info after the peer has reset or closed, even with bytes unread: TCP_CLOSE
 # and TCP_CLOSE_WAIT of Linux's tcp_states.h.
 CLOSED_TCP_STATES = b"\x07\x08"
@@ -52,7 +53,8 @@
         self._unsent = bytearray()
         self._receive_view: memoryview | None = None  # target of the receive in progress
         self._writing = self._closed = False
-        self.blocked_since: float | None = None  # since when the kernel accepts no more bytes
+        # Since when the kernel accepts no more bytes, because the peer does not read.
+        self.blocked_since: float | None = None
         self._wakeup: asyncio.Future[None] | None = None  # set while the writer has nothing to send
         self._writer_task: asyncio.Task[None] | None = None
 
--- a/whintrail/gateway/engine_protocol.py
+++ b/whintrail/gateway/engine_protocol.py
@@ -61,38 +61,38 @@
     the first equals sign.
     """
     if not isinstance(name, str) or not name:
-        raise ValueError(f"class {name!r}: its name is no text")
+        raise ValueError(f"class {name!r}: its name is not text or is empty")
     if not name.isprintable() or any(separator in name for separator in (" ", ",", "*/")):
-        raise ValueError(f"class {name!r}: its name can't be sent on, as a field of a request")
+        raise ValueError(f"class {name!r}: its name can't be a field of a request")
 
 
 def encode_do(id: bytes, fields: Mapping[str, str], statement: bytes) -> bytes:
-    """Run a statement."""
+    """Encode a request to run a statement."""
     return b"do %b %b %d\r\n%b\r\n" % (id, _encode_fields(fields).encode(), len(statement), statement)
 
 
 def encode_undo(id: bytes) -> bytes:
-    """Stop a statement."""
+    """Encode a request to stop a statement."""
     return b"undo %b\r\n" % id
 
 
 def encode_bump(id: bytes, priority: int) -> bytes:
-    """Change the priority of a statement."""
+    """Encode a request to change the priority of a statement."""
     return b"bump %b %d\r\n" % (id, priority)
 
 
 def encode_page(id: bytes, number: int) -> bytes:
-    """Request a further page of a result."""
+    """Encode a request for a further page of a result."""
     return b"page %b %d\r\n" % (id, number)
 
 
 def encode_forget(id: bytes) -> bytes:
-    """Release the result of a statement."""
+    """Encode a request to release the result of a statement."""
     return b"forget %b\r\n" % id
 
 
 def encode_probe(tag: bytes, with_report: bool) -> bytes:
-    """Probe the engine, optionally for its load report."""
+    """Encode a probe of the engine, optionally one for its load report."""
     return b"%b %b\r\n" % (b"top" if with_report else b"ping", tag)
 
 
--- a/whintrail/gateway/fleet.py
+++ b/whintrail/gateway/fleet.py
@@ -163,6 +163,7 @@
 
     def engines(self) -> dict[str, EngineAvailability]:
         """The listed engines and why they are unavailable, apart from the fleet's own drains."""
+        # With a subset, the policy holds only its engines; the others are known by the list alone.
         availability, used_engines = {}, self.dispatcher.policy.engines
         for name, engine in self.dispatcher.listed_engines().items():
             if engine.state is EngineState.REMOVED:
--- a/whintrail/gateway/limits.py
+++ b/whintrail/gateway/limits.py
@@ -14,7 +14,8 @@
 class Limits:
     """The limits of a gateway, read from the configuration."""
 
-    # Connections, as shares of the allowed descriptors; the rest is a reserve.
+    # Connections, as shares of the allowed descriptors; the rest is a reserve. Conforming clients hold at
+    # most a third of the descriptors. Their share is larger, as some connections are still closing.
     client_connections: int
     engine_connections: int
     waiting_connections: int  # beyond client_connections; as many again may be half-closed
@@ -33,7 +34,7 @@
     # Counts.
     log_burst: float  # lines of one kind at once
     log_per_second: float
-    open_queries: int  # a connection has at most one open query
+    open_queries: int  # of all clients together; a connection has at most one
     recent_call_ids: int  # ids of finished queries that are remembered
     attempts_per_link: int
     receives_per_turn: int  # of one connection, before others have a turn of the loop
--- a/whintrail/gateway/postgres.py
+++ b/whintrail/gateway/postgres.py
@@ -121,7 +121,7 @@
     return value.encode() + b"\0"
 
 
-READY_FOR_QUERY = _message(b"Z", b"I")  # transaction status: idle
+READY_FOR_QUERY = _message(b"Z", b"I")  # transaction status idle: no transaction is ever open
 EMPTY_QUERY = _message(b"I", b"")
 
 
@@ -168,7 +168,7 @@
 
 RESULT_COLUMN_COUNT = 3
 MAX_PAGE_BYTES = 6000  # limits the length of a row as well
-# Encoded once for all possible lengths, since encoding rows is on the hot path.
+# Encoded once for all lengths up to that limit, since results have many rows.
 _column_lengths = [_length_field.pack(n) for n in range(MAX_PAGE_BYTES + 1)]
 _row_headers = [
     struct.pack("!cIH", b"D", 6 + 4 * RESULT_COLUMN_COUNT + length, RESULT_COLUMN_COUNT)
--- a/whintrail/gateway/service.py
+++ b/whintrail/gateway/service.py
@@ -242,7 +242,7 @@
                     self.recorder.apply_settings(operator_file.timeline)
             self._apply_rules()
             self.counters.add("configuration", "taken")
-            self.log.line("configuration", "operator's file taken; sizes and places hold from the next start")
+            self.log.line("configuration", "operator's file taken; sizes and paths apply from the next start")
 
     async def run(self, early_hangups: Sequence[int] = ()) -> None:
         """Serve until SIGTERM or SIGINT. Errors: StartError."""
--- a/whintrail/gateway/statement.py
+++ b/whintrail/gateway/statement.py
@@ -26,7 +26,7 @@
 
 
 def _number_field(fields: dict[str, str], name: str) -> float | None:
-    """The number in a field; None if it is absent. Errors: StatementError."""
+    """The number in a field; None if it is absent, which differs from zero. Errors: StatementError."""
     text = fields.get(name)
     if text is None:
         return None
@@ -133,7 +133,7 @@
 
 
 def table_group(statement: bytes) -> int | None:
-    """The number in the schema name of the first table that has one, as 17 in `sales_17.orders`."""
+    """The number in the first schema name that has one, as 17 in `sales_17.orders`; None without one."""
     text = statement.decode("utf-8", "replace")
     if "/*" in text:
         text = _strip_block_comments(text)
