--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -12,6 +12,7 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Run all seeds; return the exit status."""
     seeds, seconds, jobs = (int(a) for a in (*arguments, *("50", "5", "4")[len(arguments) :]))
     violations = once_count = keyed_count = late_starts = 0
     numbers = range(1, seeds + 1)
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -20,6 +20,7 @@
 @click.option("--seconds", default=6.0, show_default=True)
 @click.option("--jobs", default=2, show_default=True)
 def main(seeds: int, first: int, seconds: float, jobs: int) -> None:
+    """Audit gateways with a subset of the engines each over many seeds of faults."""
     numbers, failed, received = range(first, first + seeds), 0, 0
     with ProcessPoolExecutor(jobs) as pool:
         for seed, audit in zip(
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -30,6 +30,7 @@
 def cut_link(
     scenario: str, leader_region: int, other_region: int, origin: int, target: int, random: Random
 ) -> list[float]:
+    """Return the delays of a datagram: none if the partition of the scenario separates the two regions."""
     a, b = origin % REGIONS, target % REGIONS
     is_cut = (
         {a, b} == {leader_region, other_region}
@@ -40,17 +41,20 @@
 
 
 def config_for(count: int, number: int, build: str) -> FleetConfig:
+    """Return the settings of a gateway; council members 0 to 4 are in five regions."""
     rates = {"messages_per_s": 1500.0, "bytes_per_s": 400_000.0}
     return FleetConfig("f", number, count, COUNCIL, versions=VersionTiming(), **rates)  # type: ignore[arg-type]
 
 
 def has_lease(world: FleetSimulation, number: int) -> bool:
+    """Return whether the gateway holds a lease now."""
     settings = world.node(number).settings
     assert settings is not None
     return settings.member.lease.active_version(world.clock(number)).leased
 
 
 def has_converged(world: FleetSimulation) -> bool:
+    """Return whether all running gateways know the newest version and hold a lease."""
     newest = world.state().versions.number
     return all(
         world.node(n).state.versions.number == newest and has_lease(world, n) for n in world.running_numbers()
@@ -58,6 +62,7 @@
 
 
 def run_scenario(count: int, scenario: str, seed: int) -> dict[str, float]:
+    """Simulate a scenario with one seed; return the values of its quantities."""
     world = FleetSimulation(partial(config_for, count), count, seed, drift=0.01)
     world.run(10, lambda: world.leader() is not None)
     world.run(4)
@@ -99,17 +104,19 @@
 @click.option("--seeds", default=4, show_default=True)
 @click.option("--to", type=click.Path(path_type=Path), help="Write a file of results.")
 def main(gateways: int, seeds: int, to: Path | None) -> None:
-    began, machine, found = time.time(), current_machine(), list[Sample]()
+    """Simulate both scenarios over several seeds and print their quantities."""
+    started_at, machine, samples = time.time(), current_machine(), list[Sample]()
     for scenario in SCENARIOS:
         rows = [run_scenario(gateways, scenario, seed) for seed in range(1, seeds + 1)]
         for name in rows[0]:
             unit = "s" if name.endswith("_s") else "count"
-            made = sample(name, unit, (gateways, 0), [row[name] for row in rows], "simulated")
-            click.echo(f"{scenario}: {name} {made.value:g} ({made.low:g} to {made.high:g})")
-            found.append(Sample(**{f: getattr(made, f) for f in made.__struct_fields__} | {"day": scenario}))
+            summary = sample(name, unit, (gateways, 0), [row[name] for row in rows], "simulated")
+            click.echo(f"{scenario}: {name} {summary.value:g} ({summary.low:g} to {summary.high:g})")
+            fields = {name: getattr(summary, name) for name in summary.__struct_fields__}
+            samples.append(Sample(**fields | {"day": scenario}))
     if to is not None:
         command = f"python -m benchmarks.regions --gateways {gateways} --seeds {seeds} --to {to}"
-        save_results(to, command, began, machine, found, "nine regions; the council in five of them")
+        save_results(to, command, started_at, machine, samples, "nine regions; the council in five of them")
 
 
 if __name__ == "__main__":
--- a/whintrail/scale/auditor.py
+++ b/whintrail/scale/auditor.py
@@ -213,9 +213,9 @@
             labels = tuple(sorted(acting))
             if len(labels) > 1 and labels not in reported:
                 reported.add(labels)
-                who = ", ".join(f"n{min(acting[each])} by {each}" for each in labels)
+                examples = ", ".join(f"n{min(acting[each])} by {each}" for each in labels)
                 self.breaches.append(
-                    f"different rules under leases for over {allowed_us / 1e6:.2f} s: {who} at {at}"
+                    f"different rules under leases for over {allowed_us / 1e6:.2f} s: {examples} at {at}"
                 )
 
     def _running_spans(self, number: int, span: Span, now: int) -> list[tuple[int, int]]:
--- a/whintrail/scale/bulletin.py
+++ b/whintrail/scale/bulletin.py
@@ -53,6 +53,8 @@
 
 
 class Bulletin:
+    """Keeps the list with all its events, and sends them to the followers."""
+
     def __init__(self, config: Mapping[str, Any]) -> None:
         self.entries: list[dict[str, Any]] = list(config["entries"])
         self.index_by_id = {entry["instanceId"]: index for index, entry in enumerate(self.entries)}
--- a/whintrail/scale/candidates.py
+++ b/whintrail/scale/candidates.py
@@ -33,7 +33,7 @@
         "delta_bytes": "batches: one header for several changes",
         "told_bytes": "sent once per region with a sequence number; only missed entries are requested again",
         "list_line": "no line holds a full list",
-        "version_in_force": "leases are granted in the region; a batch takes a fraction of a second",
+        "version_in_force": "leases are granted in the region; one batch per fraction of a second",
         "versions_queue": "a batch is one version, with any number of changes",
         "leader_cpu": "lease requests end at the regions' leaders",
         "leader_bytes": "lease requests end at the regions' leaders",
--- a/whintrail/scale/days.py
+++ b/whintrail/scale/days.py
@@ -40,6 +40,8 @@
 
 
 class DayPlayer:
+    """Plays the days of one size and collects their samples."""
+
     def __init__(self, rig: Rig, log: Callable[..., None]) -> None:
         self.rig, self.log, self.size = rig, log, rig.size
         self.samples: list[Sample] = []
@@ -59,8 +61,8 @@
     ) -> None:
         if not values or (quantity in OMITTED_IF_ZERO and not any(values)):
             return
-        one = sample(quantity, unit, (self.size.gateways, self.size.engines), values, kind)
-        self.samples.append(replace(one, day=day.act, subset=self.size.subset, **more))
+        new_sample = sample(quantity, unit, (self.size.gateways, self.size.engines), values, kind)
+        self.samples.append(replace(new_sample, day=day.act, subset=self.size.subset, **more))
 
     async def play(self, day: Day) -> None:
         """Plays one day, records its samples, and audits the run so far."""
@@ -142,8 +144,8 @@
             delays.add(delay / 1e6)
         if len(delays):
             sizes = (self.size.gateways, self.size.engines)
-            one = delays.sample("list_apply_s", "s", sizes, "hollow", note="since the run began")
-            self.samples.append(replace(one, day=day.act, subset=self.size.subset))
+            new_sample = delays.sample("list_apply_s", "s", sizes, "hollow", note="since the run began")
+            self.samples.append(replace(new_sample, day=day.act, subset=self.size.subset))
 
     # --- Acts.
 
@@ -172,8 +174,8 @@
             cpu_us = spent / served * 1e6
             self.record(day, "query_cpu_us", "us", [cpu_us], kind="real", note=f"{note}, control in it")
             sizes, delays = (self.size.gateways, self.size.engines), Delays.merged([answer["delays"]])
-            one = delays.sample("query_p99_ms", "ms", sizes, "real", share=0.99, note=note)
-            self.samples.append(replace(one, day=day.act, subset=self.size.subset))
+            new_sample = delays.sample("query_p99_ms", "ms", sizes, "real", share=0.99, note=note)
+            self.samples.append(replace(new_sample, day=day.act, subset=self.size.subset))
         lost = 1 - served / max(1, sum(ends.values()))
         ended = ", ".join(f"{end} {count}" for end, count in sorted(ends.items()))
         self.record(day, "not_served_share", "share", [lost], kind="real", note=f"{note}: {ended}")
@@ -182,10 +184,10 @@
         self, day: Day, before: dict[str, Reading], after: dict[str, Reading], note: str
     ) -> None:
         sizes = self.size.gateways, self.size.engines
-        for one in usage_samples(before, after, sizes, "real", day=day.act, note=note):
-            is_idle_cpu = note == "idle" and one.quantity == "cpu_share"
-            quantity = "control_cpu_share" if is_idle_cpu else one.quantity
-            self.samples.append(replace(one, quantity=quantity, subset=self.size.subset))
+        for usage in usage_samples(before, after, sizes, "real", day=day.act, note=note):
+            is_idle_cpu = note == "idle" and usage.quantity == "cpu_share"
+            quantity = "control_cpu_share" if is_idle_cpu else usage.quantity
+            self.samples.append(replace(usage, quantity=quantity, subset=self.size.subset))
 
     async def _measure_version(self, patience_s: float) -> tuple[float, str]:
         """Proposes a version: the seconds until all gateways act by it, or the reason of a failure."""
--- a/whintrail/scale/guard.py
+++ b/whintrail/scale/guard.py
@@ -13,6 +13,7 @@
 
 
 def main() -> None:
+    """Have the kernel kill this process when its parent ends, then execute the command."""
     parent, command = int(sys.argv[1]), sys.argv[2:]
     if ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0):
         sys.exit(f"prctl: {os.strerror(ctypes.get_errno())}")
--- a/whintrail/scale/hollow.py
+++ b/whintrail/scale/hollow.py
@@ -48,7 +48,7 @@
 
 DATAGRAM_HEADER_BYTES = 28  # IPv4 and UDP headers
 MEAN_ANSWER_S = 0.02  # of a query at a model engine
-PROBE_DELAY_S = 0.001  # until a model engine answers a probe
+PROBE_DELAY_S = 0.001  # until a model engine answers a probe or refuses a connection
 EVENT_KINDS: dict[type, str] = {  # the middle part of a stored quantity name: module_KIND
     api.PeerMessageReceived: "memo",
     api.EngineListReceived: "list",
--- a/whintrail/scale/host.py
+++ b/whintrail/scale/host.py
@@ -44,6 +44,8 @@
 
 
 class Host:
+    """The hollow gateways of one process, with what they share and their events for the run."""
+
     def __init__(self, config: HostConfig) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
--- a/whintrail/scale/load.py
+++ b/whintrail/scale/load.py
@@ -59,6 +59,8 @@
 
 
 class LoadClients:
+    """The clients of one process, by the requests of the control channel."""
+
     def __init__(self, config: Mapping[str, Any]) -> None:
         self.random = Random(int(config.get("seed", 1)))
         self.idle_sessions: list[LoadClient] = []
--- a/whintrail/scale/measure.py
+++ b/whintrail/scale/measure.py
@@ -153,8 +153,8 @@
     samples = []
     for quantity, figures in values.items():
         if quantity in QUANTITY_UNITS:
-            one = sample(quantity, QUANTITY_UNITS[quantity], sizes, figures, kind)
-            samples.append(structs.replace(one, **more))
+            new_sample = sample(quantity, QUANTITY_UNITS[quantity], sizes, figures, kind)
+            samples.append(structs.replace(new_sample, **more))
     return samples
 
 
--- a/whintrail/scale/rates.py
+++ b/whintrail/scale/rates.py
@@ -75,6 +75,7 @@
 
 
 def evaluate_fact(fact: Fact, fit_cache: FitCache, size: tuple[float, float] | None = None) -> FactResult:
+    """Evaluate a fact at a size, by default the target size."""
     at = EvaluationPoint(*(size or target_size()), fit_cache)
     try:
         value = fact.evaluate(at)
--- a/whintrail/scale/real.py
+++ b/whintrail/scale/real.py
@@ -143,12 +143,13 @@
     def record(self, quantity: str, unit: str, values: Sequence[float], note: str = "", **more: Any) -> None:
         if not values:
             return
-        one = sample(quantity, unit, self.sizes, list(values), "real")
-        self.add_sample(structs.replace(one, note=note, **more))
+        new_sample = sample(quantity, unit, self.sizes, list(values), "real")
+        self.add_sample(structs.replace(new_sample, note=note, **more))
 
-    def add_sample(self, one: Sample) -> None:
-        self.samples.append(structs.replace(one, subset=self.subset))
-        click.echo(f"  {one.quantity} {one.value:.6g} {one.unit} {one.note}", err=True)
+    def add_sample(self, new_sample: Sample) -> None:
+        self.samples.append(structs.replace(new_sample, subset=self.subset))
+        text = f"{new_sample.quantity} {new_sample.value:.6g} {new_sample.unit} {new_sample.note}"
+        click.echo(f"  {text}", err=True)
 
     async def measure_idle(self) -> None:
         site = self.site
@@ -179,8 +180,8 @@
             if served := single["served_per_s"]:
                 per_query.append(sum(single["shares"]) / served * 1e6)
             if double["served_per_s"] > single["served_per_s"]:
-                more = sum(double["shares"]) - sum(single["shares"])
-                marginal.append(more / (double["served_per_s"] - single["served_per_s"]) * 1e6)
+                extra_share = sum(double["shares"]) - sum(single["shares"])
+                marginal.append(extra_share / (double["served_per_s"] - single["served_per_s"]) * 1e6)
         note, served = f"at {self.rate:.0f}/s a gateway", ends["served"]
         self.record("query_cpu_us", "us", per_query, f"{note}, control work in it")
         self.record("query_marginal_cpu_us", "us", marginal, f"from {self.rate:.0f} to {2 * self.rate:.0f}/s")
--- a/whintrail/scale/rig.py
+++ b/whintrail/scale/rig.py
@@ -48,10 +48,13 @@
 
 
 def now_us() -> int:
+    """The machine's monotonic clock, which all processes of a run share."""
     return time.monotonic_ns() // 1000
 
 
 class Rig:
+    """The processes of one size, with the auditor of their events."""
+
     def __init__(self, size: Size, group: ProcessGroup, log: Callable[..., None]) -> None:
         self.size, self.group, self.log = size, group, log
         self.random = random.Random(size.name)
--- a/whintrail/scale/simulate.py
+++ b/whintrail/scale/simulate.py
@@ -126,6 +126,7 @@
 
 
 def peak_memory_mb() -> float:
+    """Return the greatest resident memory of this process so far."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
@@ -493,6 +494,7 @@
 
 
 def run_job(job: Job, pipe: Connection) -> None:
+    """Play a job in this process; progress lines and results go to the pipe."""
     import gc
 
     gc.disable()  # collections over millions of objects are slow, and cyclic garbage is little in a short run
@@ -558,19 +560,20 @@
 
 
 def replace_fields(original: Sample, **changes: str) -> Sample:
+    """Return a copy of a sample with some fields changed."""
     import msgspec
 
     return msgspec.structs.replace(original, **changes)
 
 
 def parse_sizes(context: click.Context, parameter: click.Parameter, text: str) -> list[int]:
+    """Parse comma-separated fleet sizes, each large enough to have members outside the council."""
     try:
         sizes = [int(part) for part in text.split(",") if part]
     except ValueError as error:
         raise click.BadParameter(f"{text}: not a comma-separated list of numbers") from error
-    if not all(
-        10 <= number <= 65_535 for number in sizes
-    ):  # smaller fleets have too few members outside the council
+    # Smaller fleets have too few members outside the council.
+    if not all(10 <= number <= 65_535 for number in sizes):
         raise click.BadParameter("from 10 to 65535")
     return sizes
 
@@ -583,8 +586,8 @@
 @click.option("--seeds", default=2, show_default=True)
 @click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="Only this; may be repeated.")
 @click.option("--jobs", default=2, show_default=True, help="Processes at a time.")
-@click.option("--cpu-seconds", default=900.0, show_default=True, help="of one process, at most")
-@click.option("--memory-mb", default=6000, show_default=True, help="of one process, at most")
+@click.option("--cpu-seconds", default=900.0, show_default=True, help="Of one process, at most.")
+@click.option("--memory-mb", default=6000, show_default=True, help="Of one process, at most.")
 @click.option(
     "--before", type=click.Path(path_type=Path, file_okay=False), help="A checkout to compare with."
 )
--- a/whintrail/scale/slopes_fleet.py
+++ b/whintrail/scale/slopes_fleet.py
@@ -46,6 +46,7 @@
 
 
 def boot_id_of(number: int) -> int:
+    """Return a boot id for a gateway, different from those of all others."""
     return number * 2 + 1
 
 
--- a/whintrail/standins/consensus_model.py
+++ b/whintrail/standins/consensus_model.py
@@ -298,6 +298,8 @@
 
 @dataclass(slots=True)
 class ExplorationResult:
+    """The outcome of a search through the reachable states."""
+
     states: int
     complete: bool  # whether every reachable state was seen
     violation: str  # the first violated invariant
--- a/whintrail/standins/engine_fleet.py
+++ b/whintrail/standins/engine_fleet.py
@@ -194,9 +194,9 @@
         self.held_answers.clear()
 
     def _send_reply(
-        self, sock: socket.socket, id: bytes, word: bytes, fields: bytes, body: bytes = b""
+        self, sock: socket.socket, id: bytes, status: bytes, fields: bytes, body: bytes = b""
     ) -> None:
-        data = b"%b %b %b %d\r\n%b\r\n" % (id, word, fields, len(body), body)
+        data = b"%b %b %b %d\r\n%b\r\n" % (id, status, fields, len(body), body)
         try:
             sent = sock.send(data)
         except BlockingIOError:
--- a/whintrail/standins/gateway_fleet.py
+++ b/whintrail/standins/gateway_fleet.py
@@ -51,6 +51,7 @@
 
 
 def datagram_socket() -> socket.socket:
+    """Return a non-blocking UDP socket on a free loopback port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.setblocking(False)
--- a/whintrail/standins/lease_model.py
+++ b/whintrail/standins/lease_model.py
@@ -21,6 +21,7 @@
 
 
 def phase_kind(phase: int) -> int:
+    """Return PROPOSED, ENTERING or SETTLED."""
     return phase % 3
 
 
@@ -45,6 +46,8 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Gateway:
+    """A gateway's lease, and its request and answer in flight."""
+
     leased_phase: int = 0
     lease_ticks_left: int = LEASE_TICKS
     request_age: int = -1  # ticks of its request in flight; -1: none
@@ -54,6 +57,8 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
+    """A state of the model: the leader's phase, all gateways, and how long they have differed."""
+
     phase: int = 0
     ticks_in_phase: int = 0  # counted while entering only, up to where it no longer matters
     entered_gateways: int = 0  # bit set of the gateways that the leader knows to act on the entering phase
--- a/whintrail/standins/load_generator.py
+++ b/whintrail/standins/load_generator.py
@@ -9,6 +9,7 @@
 
 
 def startup_message() -> bytes:
+    """Return the start-up message of the PostgreSQL protocol, version 3.0."""
     body = struct.pack("!I", 3 << 16) + b"user\0app\0database\0dw\0\0"
     return struct.pack("!I", len(body) + 4) + body
 
--- a/whintrail/standins/once_audit.py
+++ b/whintrail/standins/once_audit.py
@@ -30,7 +30,7 @@
 DEDUPLICATION_WINDOW_S = 0.6
 CROSSING_CLOSE_S = 0.05  # a close within this time of the request counts as crossing it
 DEPARTURE_GRACE_S = 0.1
-# How an engine responds to a query, with weights; only the first two are proof that it has not run.
+# How an engine responds to a query, with weights; only after the first two it has not run.
 RESPONSE_WEIGHTS = {
     "overload": 3,
     "nobody": 1,
@@ -338,6 +338,7 @@
 
 
 def run_scenario(seed: int, seconds: float, faulty: bool = False) -> OnceAudit:
+    """Run one seed for so long; `faulty` uses gateways that retry after a reset."""
     with tempfile.TemporaryDirectory() as folder:
 
         async def scenario() -> OnceAudit:
--- a/whintrail/standins/refusals.py
+++ b/whintrail/standins/refusals.py
@@ -91,6 +91,7 @@
 
 
 def main() -> int:
+    """Install the filter and execute the command; return 2 on other machines than x86-64."""
     if platform.machine() != "x86_64":
         print("refusals: only for x86-64", file=sys.stderr)
         return 2
--- a/whintrail/standins/restart_audit.py
+++ b/whintrail/standins/restart_audit.py
@@ -143,4 +143,5 @@
 
 
 def create_supervisors(world: FleetSimulation, auditor: Auditor) -> list[Supervisor]:
+    """Return a supervisor for each gateway of the simulated fleet."""
     return [Supervisor(world, auditor, number) for number in range(world.count)]
--- a/whintrail/standins/rule_audit.py
+++ b/whintrail/standins/rule_audit.py
@@ -17,6 +17,8 @@
 
 @dataclass(slots=True)
 class RuleAuditor:
+    """Polls the active versions of all gateways, and keeps how long they differed and by how many rules."""
+
     world: FleetSimulation
     diverging_since: dict[tuple[bytes, bytes], int] = field(default_factory=dict)  # by pair of encoded rules
     longest_divergence_us: int = 0
--- a/whintrail/standins/scripted.py
+++ b/whintrail/standins/scripted.py
@@ -200,10 +200,10 @@
                     self.send_reply(sock, tag, "green")
 
     def send_reply(
-        self, sock: socket.socket, id: str, word: str, fields: str = "-", body: bytes = b""
+        self, sock: socket.socket, id: str, status: str, fields: str = "-", body: bytes = b""
     ) -> None:
         with self.lock:
-            sock.sendall(f"{id} {word} {fields} {len(body)}\r\n".encode() + body + b"\r\n")
+            sock.sendall(f"{id} {status} {fields} {len(body)}\r\n".encode() + body + b"\r\n")
 
     def _answer_query_if_connected(self, sock: socket.socket, id: str) -> None:
         with suppress(OSError):
@@ -221,8 +221,8 @@
             case "half":
                 with self.lock:
                     sock.sendall(f"{id} served total=1 {len(self.pages[0])}\r\n".encode())
-            case "overload" | "crashed" | "nobody" as word:
-                self.send_reply(sock, id, word)
+            case "overload" | "crashed" | "nobody" as status:
+                self.send_reply(sock, id, status)
             case "note":
                 self.send_reply(sock, id, "update", "how=done,datum=0.5")
             case "reset":
--- a/whintrail/standins/subset_audit.py
+++ b/whintrail/standins/subset_audit.py
@@ -52,6 +52,7 @@
 
 
 def settings_for(gateway_number: int) -> api.Settings:
+    """Return the settings of a gateway, parsed as the gateway parses them."""
     from whintrail.settings import read_settings
     from whintrail.standins.scripted import settings
 
@@ -138,17 +139,15 @@
                 number = self.random.randrange(GATEWAYS)
                 self.process_changes[number] += 1
                 self.fleet.gateways[number].kill()
-                self.process_changes[number] += (
-                    1  # again, for clients that connected while it was being killed
-                )
+                # Again, for clients that connected while it was being killed.
+                self.process_changes[number] += 1
                 self.fleet.gateways[number] = self.fleet.start(number)
             case "relay":
                 side = {n for n in range(GATEWAYS) if self.random.random() < 0.5}
                 split = partition(side, set(range(GATEWAYS)) - side)
                 self.fleet.relay.fault = self.random.choice([deliver_once, lossy(0.3, 0.2, 0.2), split])
-            case "mute" if (
-                not self.fleet.bulletin.muted
-            ):  # not twice in a row: lists may be late, not stopped
+            # Not twice in a row: lists may be late, not stopped.
+            case "mute" if not self.fleet.bulletin.muted:
                 self.muted_until = time.monotonic() + 1.0
                 self.fleet.bulletin.muted = True
             case _:
