--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -323,6 +323,8 @@
 
 @dataclass
 class Tally:
+    """The result of one method in one simulation: delay of the first true alarm, and false alarms."""
+
     delay_s: float | None
     false_alarms: int
 
--- a/whintrail/background/queue.py
+++ b/whintrail/background/queue.py
@@ -19,6 +19,8 @@
 
 
 class Priority(IntEnum):
+    """Priority of a job, the most urgent first."""
+
     WRITE = 0  # data that is lost if it is not written soon
     ROLL = 1
     INDEX = 2
@@ -27,6 +29,8 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
+    """A background job with its accounting. The work yields wherever it may be interrupted."""
+
     name: str
     priority: Priority
     work: Generator[None, None, None]
@@ -37,6 +41,8 @@
 
 @dataclass(slots=True)
 class JobQueue:
+    """Waiting jobs by priority, and the allowance of run time that they share."""
+
     share: float  # of elapsed time
     slice_s: float  # longest run of a job before another one may run
     max_waiting: int
--- a/whintrail/background/runner.py
+++ b/whintrail/background/runner.py
@@ -1,4 +1,7 @@
-"""Runs queued jobs on the event loop in slices of at most a millisecond, yielding to the loop in between."""
+"""Runs queued jobs on the event loop in slices of at most a millisecond, yielding to the loop in between.
+
+A slice ends after the step in which its time runs out, so a long step makes it longer.
+"""
 
 import asyncio
 from collections.abc import Callable, Generator
@@ -53,7 +56,7 @@
         self.queue.record_slice(job, perf_counter() - started, finished)
 
     async def close(self) -> None:
-        """Stop, but finish the jobs of priority WRITE; all others are closed."""
+        """Stop. Jobs of priority WRITE are finished, as their data would be lost; all others are closed."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         for job in self.queue.remove_all():
--- a/whintrail/cli/check.py
+++ b/whintrail/cli/check.py
@@ -7,6 +7,8 @@
 
 
 class InvalidFile(click.ClickException):
+    """The operator's file can't be used."""
+
     exit_code = 2
 
 
--- a/whintrail/cli/demo.py
+++ b/whintrail/cli/demo.py
@@ -40,12 +40,12 @@
         stop_requested = loop.create_task(stop.wait())
         try:
             if await _wait_until_serving(port, process_ended):
-                click.echo(f"{engines} stand-in engines behind a gateway on 127.0.0.1:{port}. Ask it:")
+                click.echo(f"{engines} stand-in engines behind a gateway on 127.0.0.1:{port}. Try a query:")
                 click.echo(
                     f'  psql "host=127.0.0.1 port={port} user=app dbname=dw sslmode=disable" -c'
                     ' "/* op=lookup,call=9b1f03aa5c7e2d41,ttl=4000 */ SELECT day FROM sales_17.orders"'
                 )
-                click.echo("Every query needs a call of its own (16 hex digits). Ctrl-C ends it.")
+                click.echo("Every query needs its own `call` (16 hex digits). Ctrl-C stops the gateway.")
                 await asyncio.wait(
                     [process_ended, stop_requested], timeout=seconds, return_when=asyncio.FIRST_COMPLETED
                 )
--- a/whintrail/cli/fleet.py
+++ b/whintrail/cli/fleet.py
@@ -25,7 +25,11 @@
 )
 why_option = click.option("--why", default="", help="For the record, 64 characters at most.")
 wait_option = click.option(
-    "--wait-s", type=click.FloatRange(0.1, 86_400), default=5.0, show_default=True, help="At most so long."
+    "--wait-s",
+    type=click.FloatRange(0.1, 86_400),
+    default=5.0,
+    show_default=True,
+    help="Longest time to wait for the outcome.",
 )
 
 
@@ -121,7 +125,9 @@
 
 
 @fleet.command("may-restart")
-@click.option("--wait-s", type=click.FloatRange(0, 86_400), default=0.0, help="Wait so long for a slot.")
+@click.option(
+    "--wait-s", type=click.FloatRange(0, 86_400), default=0.0, help="Time to wait for a slot; 0: don't wait."
+)
 @click.option("--stop", is_flag=True, help="With the slot, the gateway stops at once, as on SIGTERM.")
 @socket_option
 @format_option
--- a/whintrail/cli/timeline.py
+++ b/whintrail/cli/timeline.py
@@ -58,6 +58,7 @@
 
 
 def format_time(us: int) -> str:
+    """Unix microseconds as an ISO time in UTC, to the millisecond."""
     return datetime.fromtimestamp(us / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
 
 
@@ -70,6 +71,7 @@
 
 
 def open_store(directory: str) -> Reader:
+    """Open a store and print a warning for each unusable segment."""
     reader = Reader.open(directory)
     for reason in reader.skipped:
         click.echo(f"whintrail: skipped {reason}", err=True)
@@ -160,6 +162,7 @@
 
 
 def event_row(row: Row, classes: tuple[str, ...]) -> dict[str, Any]:
+    """A raw event of a store as a row of output."""
     return {
         "time": format_time(row.at_us),
         "at_us": row.at_us,
--- a/whintrail/config/records.py
+++ b/whintrail/config/records.py
@@ -12,6 +12,8 @@
 
 
 class Logging(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Format of the log, and the rate limit of lines of one kind."""
+
     format: Literal["line", "json"] = "line"
     burst: Annotated[float, Meta(ge=1.0, le=1000.0)] = 5.0  # lines of one kind in a burst
     per_second: Annotated[float, Meta(gt=0.0, le=1000.0)] = 1.0
@@ -38,6 +40,8 @@
 
 
 class Store(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The timeline on disk: its directory, when it is flushed and synced, and its retention."""
+
     directory: Annotated[str, Meta(min_length=1)]
     fsync: Literal["never", "interval", "always"] = "interval"
     fsync_every_s: Seconds = 5.0
@@ -48,6 +52,8 @@
 
 
 class Timeline(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The history of the engines: its memory, detection thresholds, store and live view."""
+
     memory_mb: Annotated[float, Meta(ge=0.25, le=1024.0)] = 8.0  # for all engines, present and removed
     raw_s: Seconds = 300.0  # maximum age of raw events
     watch: DetectionThresholds = DetectionThresholds()
@@ -70,20 +76,25 @@
 
     times: Annotated[float, Meta(ge=1.1, le=100.0)] = 2.0  # ratio to the old build's share
     least: Annotated[float, Meta(ge=0.001, le=0.5)] = 0.03  # minimum increase of the share
-    halted_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.01  # false positive rate
-    passed_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.05  # false negative rate
+    # Probabilities that a step halts a build as good as the old one, and that it passes a worse one.
+    halted_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.01
+    passed_wrongly: Annotated[float, Meta(gt=0.0, le=0.2)] = 0.05
     least_queries: Annotated[int, Meta(ge=1, le=1_000_000)] = 50
 
 
 class Versions(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Config versions, which the gateways activate together; see docs/versions.md."""
 
-    lease_s: Annotated[float, Meta(ge=0.3, le=60.0)] = 1.2  # how long a gateway applies a version
-    list_silent_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 3.0  # then the engine list is stale
+    # How long a gateway applies a version after its last renewal.
+    lease_s: Annotated[float, Meta(ge=0.3, le=60.0)] = 1.2
+    # Silence of the bulletin after which the engine list is stale.
+    list_silent_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 3.0
     check_s: Annotated[float, Meta(ge=1.0, le=600.0)] = 10.0  # for all gateways to check a proposal
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Coordination of the gateways: drains, restarts and releases."""
+
     name: Annotated[str, Meta(min_length=1, max_length=64)]
     council: Annotated[tuple[Annotated[int, Meta(ge=0, le=0xFFFF)], ...], Meta(min_length=1, max_length=7)]
     build: Annotated[str, Meta(max_length=24)] = ""  # of this gateway; $WHINTRAIL_BUILD overrides it
@@ -111,16 +122,19 @@
 
     size: Annotated[int, Meta(ge=8, le=100_000)] = 80  # engines per gateway
     least_holders: Annotated[int, Meta(ge=1, le=1000)] = 8  # minimum of gateways per engine
-    least_stratum: Annotated[int, Meta(ge=0, le=1000)] = 4  # minimum of engines for a bound class
+    # Minimum of engines in each combination of zones and kinds to which a class is bound.
+    least_stratum: Annotated[int, Meta(ge=0, le=1000)] = 4
     batch_ms: Annotated[int, Meta(ge=50, le=2000)] = 500  # maximum wait of a probe report for more
     regions: tuple[Region, ...] = ()
 
 
 class OperatorFile(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The whole file."""
+
     version: Literal[1] = 1
     logging: Logging = Logging()
     background: Background = Background()
     timeline: Timeline | None = None  # absent: off
     fleet: Fleet | None = None  # absent: off
     subset: Subset | None = None  # absent: each gateway keeps all engines
-    rules: dict[str, Any] | None = None  # docs/versions.md; only compared if fleet.versions is set
+    rules: dict[str, Any] | None = None  # docs/versions.md; compared, not applied, with `versions`
--- a/whintrail/timeline/baseline.py
+++ b/whintrail/timeline/baseline.py
@@ -11,7 +11,7 @@
 
 SMOOTHING_ANSWERS = 150  # window of a class's location and scale
 MIN_CLASS_ANSWERS = 30  # before a class's location and scale are used
-# Scales of the log ratio.
+# Scale of a class's log ratio.
 MIN_SCALE = 0.25
 INITIAL_SCALE = 0.8
 MAX_RESIDUAL = 3.0  # in scales; residuals are clipped to it
@@ -67,6 +67,7 @@
         return (estimate_us or class_baseline.mean_estimate_us) * exp(class_baseline.location)
 
     def load_bin_index(self, load: float) -> int:
+        """The bin of that load; bins grow with the logarithm of the load."""
         return min(LOAD_BIN_COUNT - 1, int(2 * log(1 + 4 * load))) if load > 0 else 0
 
     def load_shift(self, load: float) -> float:
@@ -124,4 +125,5 @@
 
 
 def median_or_zero(values: list[float]) -> float:
+    """The median; 0.0 without values."""
     return median(values) if values else 0.0
--- a/whintrail/timeline/detector.py
+++ b/whintrail/timeline/detector.py
@@ -40,7 +40,7 @@
 CONNECTION_ERROR_BURST_US = 100_000  # resets within it are one broken link and count as one error
 PEER_FRESHNESS_US = 10 * SECOND_US  # only peers that answered within it are compared with
 LATENCY_SAMPLES_PER_TICK = 2  # of an engine; more samples would add little
-VERDICT_EXPIRY_US = 60 * SECOND_US  # a verdict without new evidence ends after it
+VERDICT_EXPIRY_US = 60 * SECOND_US  # without answers or connection errors, SLOW and FAILING end after it
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,10 +86,10 @@
     unanswered_since_us: int | None = None  # first attempt sent after the last sign
     silence_evidence: float = 0.0  # total surprise of attempts that ended without a sign
     largest_surprises: list[float] = field(default_factory=list)  # the three largest of these
-    silent_until_us: int = 0  # when the last of these attempts ended
+    silent_until_us: int = 0  # end of the last of these attempts: it was silent at least until then
     signs_since_tick: int = 0
     signs_per_s: float = 0.0  # moving average
-    latency_samples_left: int = LATENCY_SAMPLES_PER_TICK  # until the next tick
+    latency_samples_left: int = LATENCY_SAMPLES_PER_TICK  # answers still measured until the next tick
     # Latency.
     slow_cusum: float = 0.0
     slow_since_us: int = 0
@@ -351,7 +351,7 @@
                 active_peers += 1
                 answering_peers += now - peer.last_sign_us <= max(silent_us / 2, SECOND_US)
         if not answering_peers or answering_peers * 2 < active_peers:
-            return  # the peers are silent too
+            return  # the peers are silent too, so the cause is not this engine
         stalled_since_us = max(unanswered_since_us, monitored.last_sign_us)
         evidence = {
             "evidence": stall_evidence,
@@ -463,7 +463,8 @@
         monitored.failing_evidence = min(2 * FAILING_EVIDENCE, max(0.0, monitored.failing_evidence + step))
         if is_error:
             monitored.last_error_us = now
-        elif monitored.healthy_evidence == 0.0:  # it recovered between the last error and this answer
+        elif monitored.healthy_evidence == 0.0:
+            # It recovered at an unknown time between the last error and this answer: take the middle.
             monitored.healthy_since_us = (max(monitored.last_error_us, monitored.failing_since_us) + now) // 2
         monitored.healthy_evidence = min(2 * HEALTHY_EVIDENCE, max(0.0, monitored.healthy_evidence - step))
         if Verdict.FAILING in monitored.active_verdicts:
--- a/whintrail/timeline/events.py
+++ b/whintrail/timeline/events.py
@@ -1,6 +1,7 @@
 """The kinds of raw events, their codes, and the detector's verdicts.
 
-Codes are stored: the order of the tuples below must not change, and new members go to the end.
+Codes are stored: the order of the tuples below, and of the enums that they are made of, must not change; new
+members go to the end.
 """
 
 from dataclasses import dataclass, field
@@ -79,7 +80,7 @@
 
 # Outcomes that prove that the engine processes what it is sent.
 ANSWERED_OUTCOMES = frozenset({api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.NOT_STARTED})
-# Outcomes without an answer of the engine.
+# Outcomes after which it is unknown whether the engine would have answered: they count as silence.
 UNANSWERED_OUTCOMES = frozenset({api.Outcome.TIMEOUT, api.Outcome.CANCELLED, api.Outcome.UNKNOWN})
 
 
--- a/whintrail/timeline/recorder.py
+++ b/whintrail/timeline/recorder.py
@@ -38,6 +38,7 @@
 
 
 def thresholds_from_settings(settings: DetectionThresholds) -> Thresholds:
+    """The detector's thresholds from the operator's file, with times in microseconds."""
     return Thresholds(
         stalled_evidence=settings.stalled_evidence,
         stalled_least_us=int(settings.stalled_least_s * 1e6),
@@ -79,9 +80,8 @@
         self.writer: Writer | None = None
         self.live_view: LiveView | None = None
         self.tasks: list[asyncio.Task[None]] = []
-        self.queued_jobs: set[str] = (
-            set()
-        )  # names of the queued and running jobs that must not be queued twice
+        # Names of the queued and running jobs that must not be queued twice.
+        self.queued_jobs: set[str] = set()
 
     def apply_settings(self, settings: TimelineSettings) -> None:
         """Apply a changed operator's file: thresholds at once; sizes and paths need a restart."""
@@ -161,6 +161,7 @@
             self.counters.add("timeline", "shed")
 
     def _track_job(self, name: str, job: StepwiseJob) -> StepwiseJob:
+        """The job, which removes its name from `queued_jobs` when it ends or is closed."""
         try:
             yield from job
         finally:
@@ -180,7 +181,7 @@
                 self._submit("clear", Priority.DELETE, writer.delete_expired())
 
     async def _run_syncs(self, writer: "Writer") -> None:
-        """Sync in a thread, because a disk may take seconds for it."""
+        """Sync in a thread, because a disk may take seconds for it and would block the event loop."""
         store_settings = self.settings.store
         assert store_settings is not None
         interval_s = (
--- a/whintrail/timeline/store/writer.py
+++ b/whintrail/timeline/store/writer.py
@@ -204,7 +204,7 @@
             raise self._disable(str(error)) from error
 
     def index_old_segments(self) -> StepwiseJob:
-        """Write the missing indexes of older segments, as after a kill."""
+        """Write the missing indexes of older segments, as after a kill; the current one has none yet."""
         for path in sorted(self.directory.glob("*.seg")):
             if path == self.segment_path or path.with_suffix(".idx").exists() or self.off_reason is not None:
                 continue
