--- a/whintrail/timeline/recorder.py
+++ b/whintrail/timeline/recorder.py
@@ -75,7 +75,7 @@
             cold_duration_us,
         )
         background = operator_file.background
-        self.plan = JobQueue(background.share, background.slice_ms / 1000, background.waiting)
+        self.job_queue = JobQueue(background.share, background.slice_ms / 1000, background.waiting)
         self.runner: JobRunner | None = None
         self.writer: Writer | None = None
         self.live_view: LiveView | None = None
@@ -89,7 +89,7 @@
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self.runner = JobRunner(self.plan, self._handle_job_failure)
+        self.runner = JobRunner(self.job_queue, self._handle_job_failure)
         if self.settings.store is not None:
             self._open_store()
         if self.settings.socket is not None:
@@ -216,7 +216,7 @@
             self._submit("flush", Priority.WRITE, self.writer.write_events(self.timeline), once=False)
         if self.runner is not None:
             await self.runner.close()
-        for name, count in self.plan.shed.items():
+        for name, count in self.job_queue.shed.items():
             self.counters.add("timeline", f"shed_{name}", count)
         if self.writer is not None:
             self.counters.add("timeline", "stored", self.writer.events_written)
