--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -155,6 +155,7 @@
 
 
 def delays(count: int, loss: float, seed: int) -> dict[str, float | None]:
+    """Runs one seed without faults but loss; the seconds that each operation took, or None."""
     world, _, supervisors = build_world(count, seed)
     world.fault = lambda a, b, r: [] if r.random() < loss else [r.random() * 0.01]
     random, result = Random(seed), dict[str, float | None]()
--- a/benchmarks/fleetcost.py
+++ b/benchmarks/fleetcost.py
@@ -37,6 +37,7 @@
 
 
 def gateway_pid(fleet_under_test: GatewayFleet, number: int) -> int:
+    """The process id of a gateway."""
     return fleet_under_test.gateways[number].process.pid  # the start script ends with exec
 
 
--- a/benchmarks/fleetfaults.py
+++ b/benchmarks/fleetfaults.py
@@ -63,11 +63,13 @@
             self.waits_s.append(now - requested_at)
 
     def record_crash(self, number: int) -> None:
+        """Counts a killed gateway, which is unavailable from now on."""
         with self.lock:
             self.counts["killed"] += 1
             self.down.setdefault(number, (time.monotonic(), False))
 
     def record_return(self, number: int) -> None:
+        """Notes that a gateway answers queries again."""
         with self.lock:
             self.down.pop(number, None)
 
@@ -84,6 +86,7 @@
 
     @property
     def is_over(self) -> bool:
+        """Whether the time for faults has passed."""
         return time.monotonic() > self.ends_at
 
     def start(self, number: int) -> None:
@@ -120,6 +123,7 @@
                 self.start(number)
 
     def load(self, number: int) -> None:
+        """Sends queries to a gateway and counts their outcomes."""
         while not self.is_over:
             try:
                 session = self.processes.client(number)
@@ -182,6 +186,7 @@
             time.sleep(0.01)
 
     def restart_after(self, number: int, seconds: float) -> None:
+        """Starts a killed gateway after a while, and releases its lock."""
         try:
             time.sleep(seconds)
             self.start(number)
@@ -189,6 +194,7 @@
             self.locks[number].release()
 
     def run(self) -> None:
+        """Runs supervisors, clients and faults until the time is over."""
         threads = [threading.Thread(target=self.supervise, args=(n,)) for n in range(GATEWAYS)]
         threads += [threading.Thread(target=self.load, args=(n,)) for n in range(GATEWAYS)]
         for thread in threads:
@@ -200,6 +206,7 @@
 
 
 def run_seed(seed: int, seconds: float) -> dict[str, Any]:
+    """Runs one seed and returns its breaches, counts and waits."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
 
--- a/benchmarks/fleetrelease.py
+++ b/benchmarks/fleetrelease.py
@@ -69,6 +69,7 @@
             session.close()
 
     def stop_and_join(self) -> None:
+        """Stops the clients and waits for their threads."""
         self.stop.set()
         for thread in self.threads:
             thread.join(20)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -42,6 +42,7 @@
         self.outbox: list[tuple[int, Any, int]] = []
 
     def tick(self, now: int) -> None:
+        """Sends the heartbeat when due, and removes members silent for too long."""
         if now >= self.next_beat_at:
             self.next_beat_at += SECOND
             self.outbox += [
@@ -52,6 +53,7 @@
                 self.removed.add(number)
 
     def receive(self, now: int, sender: int, message: Any) -> None:
+        """Notes a heartbeat; a removed sender is a member again."""
         self.last_received[sender] = now
         self.removed.discard(sender)
 
@@ -73,6 +75,7 @@
         self.outbox: list[tuple[int, Any, int]] = []
 
     def tick(self, now: int) -> None:
+        """Raises and sends counters when due, and removes members whose counter stood still for too long."""
         if now >= self.next_gossip_at:
             self.next_gossip_at += SECOND
             self.counters[self.local_number] += 1
@@ -89,6 +92,7 @@
                 self.removed.add(number)
 
     def receive(self, now: int, sender: int, message: Any) -> None:
+        """Takes over the counters that are newer; their members are members again."""
         for number, counter in message:
             if counter > self.counters[number]:
                 self.counters[number], self.changed_at[number] = counter, now
@@ -108,6 +112,7 @@
 
     @property
     def removed(self) -> set[int]:
+        """The numbers of the members that this one considers gone."""
         return {m.number for m in self.membership.members if m.state is MemberState.GONE}
 
     def _flush(self) -> None:
@@ -119,10 +124,12 @@
         self.membership.outbox.clear()
 
     def tick(self, now: int) -> None:
+        """Runs the timers of the member."""
         self.membership.tick(now)
         self._flush()
 
     def receive(self, now: int, sender: int, message: Any) -> None:
+        """Passes a message on to the member."""
         self.membership.receive(now, sender, sender + 1, message[0], message[1])
         self._flush()
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,4 +1,4 @@
-"""Config versions at full fleet size, simulated: python -m benchmarks.versions --gateways 200 --seeds 20
+"""Settings versions at full fleet size, simulated: python -m benchmarks.versions --gateways 200 --seeds 20
 
 Each seed makes two changes one after the other, loses the given share of datagrams, and with `--faults`
 pauses, kills and partitions members during them. Measured from outside: the longest time for which two
@@ -27,6 +27,7 @@
 
 
 def in_force(world: FleetSimulation, rules: Rules) -> bool:
+    """Whether all running, unpaused gateways apply the rules under a lease, and no version is proposed."""
     for number in world.running_numbers():
         process, service = world.processes[number], world.node(number).settings
         assert service is not None and process is not None
@@ -39,14 +40,17 @@
 
 
 def isolate_zone(zone: int, origin: int, target: int, random: Random) -> list[float]:
+    """A network fault that loses all datagrams between one zone and the others."""
     return [] if (origin % 4 == zone) != (target % 4 == zone) else [0.0]
 
 
 def restart(world: FleetSimulation, number: int) -> None:
+    """Starts a killed gateway again."""
     world.start(number)
 
 
 def simulate_changes(count: int, loss: float, faults: bool, seed: int) -> dict[str, Any]:
+    """Runs one seed: two changes, the longest divergence between gateways, and the delays."""
     started, random = time.perf_counter(), Random(seed)
 
     def make_node(number: int, build: str) -> FleetConfig:
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -148,4 +148,4 @@
 
 
 def test_checksum_matches_rfc_3720() -> None:
-    assert checksum.crc32c(b"123456789") == 0xE3069283  # the check value of the polynomial
+    assert checksum.crc32c(b"123456789") == 0xE3069283  # the usual check value of RFC 3720's polynomial
--- a/tests/test_probe_reports.py
+++ b/tests/test_probe_reports.py
@@ -118,7 +118,9 @@
 
 
 def test_only_some_gateways_act_on_the_same_peer_report() -> None:
-    """If all gateways acted on one report, they would all crowd the idle engine, or all refuse."""
+    """If all gateways acted on one report, all would choose the engine that looks idle at once, or all would
+    refuse queries while every engine looks loaded.
+    """
     acting = 0
     for gateway in range(100):
         driver = PolicyDriver(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Config versions: order of rules, transfer, activation, and how long two gateways can differ."""
+"""Settings versions: order of rules, transfer, activation, and how long two gateways can differ."""
 
 from random import Random
 
@@ -123,7 +123,7 @@
         store = RulesStore(Random(number))
         store.fetch(77, 5)
         first_sources.append(store.due_requests(now, range(2000))[0][0])
-    assert 150 < first_sources.count(5) < 400  # a random choice would give 1
+    assert 150 < first_sources.count(5) < 400  # a random choice would give 1 of 2,000
     store = RulesStore(Random(1))
     store.fetch(77, 5)
     sources = [
--- a/tests/test_versions_processes.py
+++ b/tests/test_versions_processes.py
@@ -1,4 +1,4 @@
-"""Config versions between gateway processes, with network faults, crashes and pauses."""
+"""Settings versions between gateway processes, with network faults, crashes and pauses."""
 
 import json
 import os
@@ -161,8 +161,8 @@
 
 
 def test_rules_of_a_file_apply_on_sighup_without_versions(tmp_path: Path) -> None:
-    """Without config versions, SIGHUP applies a file's rules. An invalid file changes nothing; a file without
-    rules lifts them."""
+    """Without settings versions, SIGHUP applies a file's rules. An invalid file changes nothing; a file
+    without rules lifts them."""
     rules: dict[str, Any] = {"paused": ["report"]}
     with fleet(1, Engine("s-1"), operator=lambda number, build: {"rules": rules}) as processes:
         client, file = processes.client(0), processes.folder / "n0" / "operator.jsonnet"
--- a/whintrail/fleet/leader.py
+++ b/whintrail/fleet/leader.py
@@ -355,7 +355,9 @@
         unavailable |= {n for n in consensus.voters if n != sender and self.unavailable_reason(now, n)}
         if len(unavailable) + 1 <= len(consensus.voters) - consensus.quorum:
             return ""
-        return "it is of the council, and away are " + ", ".join(f"n{n}" for n in sorted(unavailable))
+        return "it is a voter that the quorum needs while these are unavailable: " + ", ".join(
+            f"n{n}" for n in sorted(unavailable)
+        )
 
     def _decide_slot_return(self, sender: int, request: SlotReturn) -> "Decision":
         if request.by_operator:
@@ -370,7 +372,7 @@
         if slot is None or (request.fence and slot.fence != request.fence):
             return DONE, "no such slot", None
         if request.number != sender:
-            return REFUSED, "not its own", None
+            return REFUSED, "the slot belongs to another gateway", None
         return DONE, "", FreeSlot(request.number, slot.fence, "not used")
 
     def _decide_drain(self, request: DrainRequest) -> "Decision":
@@ -414,7 +416,7 @@
     def _decide_release(self, request: ReleaseRequest) -> "Decision":
         steps, current = request.steps, self.replica.state.release
         if list(steps) != sorted(set(steps)) or steps[-1] != 1000 or steps[0] <= 0:
-            return REFUSED, "steps have to rise to the whole fleet", None
+            return REFUSED, "steps must increase and end with the whole fleet", None
         if current is not None and current.status != ENDED:
             if (current.build, current.steps, current.reason, current.status) == (
                 request.build,
@@ -442,7 +444,11 @@
         if versions.next is not None:
             return REFUSED, f"version {versions.next.number} is on its way", None
         if request.number != versions.number + 1:
-            return REFUSED, f"version {versions.number} is in force: made on another", None
+            return (
+                REFUSED,
+                f"version {versions.number} is in force: the proposal is based on another one",
+                None,
+            )
         return (
             DONE,
             "",
--- a/whintrail/fleet/log.py
+++ b/whintrail/fleet/log.py
@@ -29,10 +29,12 @@
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry, or of the snapshot if there is none after it."""
         return self.entries[-1].index if self.entries else self.snapshot_position[2]
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry, or of the snapshot if there is none after it."""
         return self.entries[-1].term if self.entries else self.snapshot_position[1]
 
     def term_at(self, index: int) -> int | None:
@@ -49,6 +51,7 @@
         return [entry for entry in self.entries if entry.index > self.commit_index]
 
     def append(self, entry: Entry) -> None:
+        """Adds an entry whose index follows the last one."""
         self.entries.append(entry)
 
     def merge(self, prev_index: int, prev_term: int, entries: Iterable[Entry]) -> int | None:
--- a/whintrail/fleet/membership.py
+++ b/whintrail/fleet/membership.py
@@ -25,7 +25,7 @@
 MAX_INCARNATION = 0xFFFFFFFF
 MAX_UPDATES = 8  # in one ping or ack
 MAX_SEQ = 0x7FFFFFFF
-LEAVE_FANOUT = 6  # members that are told directly when the local one leaves
+LEAVE_FANOUT = 6  # members that a leaving one notifies directly
 
 
 class MemberState(IntEnum):
@@ -231,9 +231,11 @@
     # --- Queries.
 
     def is_alive(self, number: int) -> bool:
+        """Whether the member counts as alive; a suspect doesn't."""
         return self.members[number].state is MemberState.ALIVE
 
     def count_in(self, state: MemberState) -> int:
+        """The number of members in a state."""
         return len(self.by_state[state])
 
     def alive_peers(self) -> Sequence[int]:
--- a/whintrail/fleet/release.py
+++ b/whintrail/fleet/release.py
@@ -15,7 +15,7 @@
 
 BAD_OUTCOMES = ("failed", "refused", "late")
 COUNTER_MASK = 0xFFFFFFFF  # reported counters wrap
-MAX_QUERIES_PER_REPORT = 1 << 24  # a greater difference is no plausible count
+MAX_QUERIES_PER_REPORT = 1 << 24  # a greater difference within about a second is no plausible count
 MAX_CLASSES = 4
 
 
@@ -47,6 +47,7 @@
     bad: dict[tuple[int, int], int] = field(default_factory=dict)
 
     def add(self, cls: int, taken: int, bad: tuple[int, int, int]) -> None:
+        """Adds queries of a class, and of them the failed, refused and late ones."""
         self.taken[cls] = self.taken.get(cls, 0) + taken
         for kind, count in enumerate(bad):
             self.bad[cls, kind] = self.bad.get((cls, kind), 0) + count
@@ -120,7 +121,7 @@
         for cls, taken in sorted(self.new.taken.items()):
             if not self.has_baseline(cls):
                 if taken > rules.min_class_share * total:
-                    wait = wait or f"class {cls}: little of the old build to compare with"
+                    wait = wait or f"class {cls}: too few queries on the old build to compare with"
                 continue
             for kind, name in enumerate(BAD_OUTCOMES):
                 bad, expected = self.new.bad.get((cls, kind), 0), self.expected_share(cls, kind)
@@ -129,5 +130,5 @@
                     share = f"{bad}/{taken} {name}, old {expected:.3f}"
                     return Verdict.HALT, f"class {cls}: {share}"
                 if evidence > pass_threshold and taken > rules.min_class_share * total:
-                    wait = wait or f"class {cls}: not sure of {name} yet ({bad}/{taken})"
+                    wait = wait or f"class {cls}: no verdict on {name} yet ({bad}/{taken})"
         return (Verdict.WAIT, wait) if wait else (Verdict.GO, f"{total} queries compared")
--- a/whintrail/fleet/state.py
+++ b/whintrail/fleet/state.py
@@ -226,6 +226,7 @@
 
     @property
     def number(self) -> int:
+        """The number of the version in force; 0: none yet."""
         return self.current.number if self.current is not None else 0
 
     def apply(self, command: "ProposeVersion | EnterVersion | DropVersion | SettleVersion") -> str:
@@ -325,7 +326,7 @@
             same = (slot.boot_id, slot.request_id) == (command.boot_id, command.request_id)
             return "" if same else "it holds a slot already"
         if len(self.slots) >= MAX_SLOTS:
-            return "as many slots as there can be"
+            return "the maximum number of slots is reached"
         if command.release:
             release = self.release
             if release is None or release.id != command.release:
@@ -345,7 +346,7 @@
         if command.engine in self.drains:
             return "drained already"
         if len(self.drains) >= MAX_DRAINS:
-            return "as many drains as there can be"
+            return "the maximum number of drains is reached"
         self.last_fence += 1
         self.drains[command.engine] = Drain(
             self.last_fence, command.reason, command.limit_s, command.undo_at_limit, command.at_ms
--- a/whintrail/fleet/wire.py
+++ b/whintrail/fleet/wire.py
@@ -3,7 +3,7 @@
 A datagram has at most 256 bytes: a header (magic byte, version, fleet, sender's number, boot id and
 incarnation), a body in MessagePack, and the CRC-32C of both. Decoding is strict. The magic byte differs from
 the first byte of probe report datagrams (`probe_reports.py`), which use the same socket. Each process draws
-its boot id at random when it starts, so that a restart can be told from a pause.
+its boot id at random when it starts, which distinguishes a restart from a pause.
 
 Message classes are encoded as arrays: field order, types and tags are part of the protocol, names are not.
 """
--- a/whintrail/subset/assignment.py
+++ b/whintrail/subset/assignment.py
@@ -60,6 +60,7 @@
         return sum(len(ring) for ring in self.rings)
 
     def add(self, ring: int, position: RingPosition) -> None:
+        """Place an engine; while bulk loading, without keeping the order."""
         self.change_count += 1
         if self.is_bulk_loading:
             self.rings[ring].append(position)
@@ -73,6 +74,7 @@
         self.is_bulk_loading = False
 
     def remove(self, ring: int, position: RingPosition) -> None:
+        """Remove an engine; ends bulk loading."""
         self.sort()
         self.change_count += 1
         del self.rings[ring][bisect_left(self.rings[ring], position)]
--- a/whintrail/subset/report_sender.py
+++ b/whintrail/subset/report_sender.py
@@ -1,7 +1,7 @@
 """Sends this gateway's probe reports to the other holders of the probed engine, in batches. Pure.
 
 A report waits at most one batch interval for others to the same gateway; its age grows by the wait. The
-interval has several slots: a target's number tells in which one it is served, and gateways start at
+interval has several slots: a target's number determines in which one it is served, and gateways start at
 different phases, so that neither what one sends nor what one receives comes in a burst. Where receivers use
 only a part of the reports, `sample_every` saves bytes: each target gets one batch in that many, and the
 reports of the other batches are dropped.
@@ -21,6 +21,8 @@
 
 @dataclass(slots=True)
 class QueuedReport:
+    """An encoded report, and since when it waits for the next batch to its target."""
+
     target: int
     added_us: int
     report: bytes
--- a/whintrail/versions/__init__.py
+++ b/whintrail/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Config versions: settings that the gateways activate in two steps under leases. Pure."""
+"""Settings versions: settings that the gateways activate in two steps under leases. Pure."""
--- a/whintrail/versions/engine_list.py
+++ b/whintrail/versions/engine_list.py
@@ -26,6 +26,8 @@
 
 @dataclass(slots=True)
 class EngineListState:
+    """The local engine list as the bulletin last reported it, and what peers with newer lists exclude."""
+
     silence_timeout_us: int  # the list is stale when the bulletin has been silent for longer
     generation: int = 0
     ready: dict[str, bool] = field(default_factory=dict)  # listed engines: whether they are ready
@@ -80,9 +82,11 @@
         return self._digest
 
     def is_stale(self, now: int) -> bool:
+        """Whether the bulletin has been silent for longer than the timeout."""
         return now - self.last_activity_at > self.silence_timeout_us
 
     def compare(self, generation: int, digest: int) -> ListComparison:
+        """Compare with a peer's list; a conflict is counted."""
         if generation != self.generation:
             return ListComparison.BEHIND if generation > self.generation else ListComparison.AHEAD
         if digest == self.digest:
@@ -107,4 +111,5 @@
 
     @property
     def excluded_engines(self) -> frozenset[str]:
+        """Engines that get nothing new because a peer's newer list excludes them."""
         return frozenset(self.peer_exclusions)
--- a/whintrail/versions/leader.py
+++ b/whintrail/versions/leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of config versions: grants leases and decides when a proposal enters, settles or is
+"""The leader's side of settings versions: grants leases and decides when a proposal enters, settles or is
 dropped. Sans-I/O.
 
 A new leader does not know the leases that a previous leader granted, so it lets the duration of one pass
@@ -19,12 +19,16 @@
 
 @dataclass(slots=True)
 class MemberReport:
+    """A member's latest lease request, and the process that sent it."""
+
     received_at: int
     boot_id: int
     request: LeaseRequest
 
 
 class VersionLeader:
+    """The leader's record of lease requests and of the current phase."""
+
     def __init__(self, now: int, timing: VersionTiming) -> None:
         self.started_at, self.timing = now, timing
         self.reports: dict[int, MemberReport] = {}
--- a/whintrail/versions/lease.py
+++ b/whintrail/versions/lease.py
@@ -12,6 +12,8 @@
 
 
 class Phase(IntEnum):
+    """A step on the way from one version to the next."""
+
     SETTLED = 0  # the version in force
     CHECKING = 1  # the next one was proposed; the version in force still applies
     ENTERING = 2  # the stricter merge of both applies
@@ -28,10 +30,13 @@
 
     @property
     def label(self) -> str:
+        """The number for display; "7>8" while version 8 enters."""
         return f"{self.number}>{self.number + 1}" if self.phase is Phase.ENTERING else str(self.number)
 
 
 class VersionLease:
+    """The lease of one gateway, and the rules that it applies with and without it."""
+
     def __init__(self) -> None:
         self.rules_by_number: dict[int, Rules] = {0: Rules()}  # 0: in force before the first version
         self.number, self.phase = 0, Phase.SETTLED
--- a/whintrail/versions/member.py
+++ b/whintrail/versions/member.py
@@ -1,4 +1,4 @@
-"""A member's side of config versions: fetches and checks proposals, requests its lease, applies the rules.
+"""A member's side of settings versions: fetches and checks proposals, requests its lease, applies the rules.
 Sans-I/O."""
 
 from collections.abc import Callable, Sequence
@@ -18,6 +18,8 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionTiming:
+    """Durations of leases, checks and the engine list's staleness."""
+
     lease_us: int = 1_200_000  # from the sending of the request on
     renew_interval_us: int = 400_000
     check_timeout_us: int = 10_000_000  # for all members to report whether they can apply a proposal
@@ -31,6 +33,8 @@
 
 
 class VersionMember:
+    """One gateway's rules, verdicts on proposals, and lease."""
+
     def __init__(self, random: Random, check_rules: RulesCheck, timing: VersionTiming) -> None:
         self.timing, self.check_rules = timing, check_rules
         self.store, self.lease = RulesStore(random), VersionLease()
@@ -78,15 +82,18 @@
             }
 
     def due_pulls(self, now: int, holders: Sequence[int]) -> list[tuple[int, BodyRequest]]:
+        """The requests for missing pieces to send now, with their targets."""
         return [
             (source, BodyRequest(key, index)) for source, key, index in self.store.due_requests(now, holders)
         ]
 
     def answer_pull(self, request: BodyRequest) -> BodyChunk | None:
+        """The requested piece; None if its data is not held."""
         piece = self.store.read_piece(request.digest, request.chunk)
         return BodyChunk(request.digest, request.chunk, *piece) if piece is not None else None
 
     def receive_piece(self, now: int, origin: int, piece: BodyChunk) -> None:
+        """Add a piece that another gateway sent."""
         self.store.receive_piece(now, origin, piece.digest, piece.chunk, piece.chunks, piece.data)
 
     def check_proposal(self, versions: VersionState) -> str | None:
--- a/whintrail/versions/rules.py
+++ b/whintrail/versions/rules.py
@@ -1,4 +1,4 @@
-"""The content of a config version: the operator's rules for routing decisions, ordered by strictness.
+"""The content of a settings version: the operator's rules for routing decisions, ordered by strictness.
 
 For each setting a meet is defined: the stricter of two values. The meet of two sets of rules is taken setting
 by setting, so it is commutative, associative and idempotent like that of each setting. A setting without a
--- a/whintrail/versions/service.py
+++ b/whintrail/versions/service.py
@@ -1,4 +1,4 @@
-"""Config versions on a fleet node: the member's side, the leader's side while this process leads, and the
+"""Settings versions on a fleet node: the member's side, the leader's side while this process leads, and the
 comparison of engine lists. Sans-I/O."""
 
 from collections.abc import Callable, Sequence
@@ -29,6 +29,8 @@
 
 
 class VersionService:
+    """Handles the messages and timers of settings versions and engine lists on a fleet node."""
+
     def __init__(
         self,
         timing: VersionTiming,
@@ -48,12 +50,15 @@
         self.next_list_digest_at = 0
 
     def become_leader(self, now: int, consensus: Consensus) -> None:
+        """Start to grant leases; what a previous leader granted is unknown."""
         self.leader, self.consensus = VersionLeader(now, self.timing), consensus
 
     def alive_members(self) -> Sequence[int]:
+        """The numbers of the alive members, the local one among them."""
         return self.members.by_state[MemberState.ALIVE]
 
     def boot_id_of(self, number: int) -> int:
+        """The boot id of a member's latest known process; 0: never heard from."""
         return self.members.members[number].boot_id
 
     def unready_members(self, now: int) -> list[int]:
@@ -63,6 +68,7 @@
         return self.leader.unready_members(now, self.committed, self.alive_members(), self.boot_id_of)
 
     def handle_message(self, now: int, origin: int, boot_id: int, message: AnyMessage) -> None:
+        """Handle a message about versions or engine lists; others are ignored."""
         match message:
             case LeaseRequest():
                 if self.leader is not None and self.consensus is not None:
--- a/whintrail/versions/store.py
+++ b/whintrail/versions/store.py
@@ -20,6 +20,8 @@
 
 @dataclass(slots=True)
 class Fetch:
+    """Data that is being fetched, and the pieces received so far."""
+
     digest: int
     piece_count: int = 0  # 0: not known yet
     source: int = -1  # the gateway that is asked
